--- a/tests/standin/controllers.cpp
+++ b/tests/standin/controllers.cpp
@@ -71,6 +71,9 @@
     largest_turn = std::max(largest_turn, inputs.size());
     Ms clock = h.offset + static_cast<Ms>(static_cast<double>(now_) * h.rate);
     Outputs out = h.node->step(clock, inputs);
+    if (o_.on_outputs) {
+        o_.on_outputs(now_, i, out);
+    }
     if (h.node->leading() != h.led) {
         h.led = h.node->leading();
         elections += h.led;
--- a/tests/standin/world.hpp
+++ b/tests/standin/world.hpp
@@ -103,6 +103,8 @@
     ZoneFailoverSettings zone_failover = {};
     // What stands in the state service before anybody starts.
     std::map<std::string, Json> stored = {};
+    // Told what each step of a controller put out, and when; empty: nobody listens.
+    std::function<void(Ms now, std::size_t controller, const Outputs&)> on_outputs = {};
     // Mutations: each takes one guard away, and the checks must then find a broken rule.
     bool strip_fence = false;    // transactions lose their conditions
     bool hide_relays = false;    // leaders don't see who answers workers for them
