--- a/src/bookkeeping/cluster_state.cpp
+++ b/src/bookkeeping/cluster_state.cpp
@@ -9,10 +9,12 @@
     used_.resize(teams_.size());
 }
 
-void ClusterState::set_kinds(const std::vector<Kind>& kinds) { kinds_ = kinds; }
+void ClusterState::set_machine_types(const std::vector<MachineType>& machine_types) {
+    machine_types_ = machine_types;
+}
 
-const Kind* ClusterState::kind(Id id) const {
-    for (const Kind& k : kinds_) {
+const MachineType* ClusterState::machine_type(Id id) const {
+    for (const MachineType& k : machine_types_) {
         if (k.id == id) {
             return &k;
         }
@@ -25,7 +27,7 @@
     return it == job_ids_.end() ? kNone : it->second;
 }
 
-Id ClusterState::add_job(const JobView& view, Ms now) {
+Id ClusterState::add_job(const StoredJob& stored_job, Ms now) {
     Id id;
     if (!free_jobs_.empty()) {
         id = free_jobs_.back();
@@ -36,22 +38,24 @@
         jobs.emplace_back();
     }
     Job& j = jobs[id];
-    j.spec = view.record.spec;
-    j.stamp = view.stamp;
-    j.born = view.born;
-    j.cancelled = view.record.cancelled;
+    j.spec = stored_job.record.spec;
+    j.version = stored_job.version;
+    j.created_version = stored_job.created_version;
+    j.cancelled = stored_job.record.cancelled;
     j.known_since = now;
     j.waiting_since = now;
-    j.start_by = now + start_budget(j.spec);
-    if (j.spec.lane != kNone) {
-        auto it = std::find_if(shapes.begin(), shapes.end(),
-                               [&](const Shape& s) { return s.lane == j.spec.lane; });
-        if (it == shapes.end()) {
-            it = shapes.insert(shapes.end(), Shape{});
+    j.start_deadline = now + start_budget(j.spec);
+    if (j.spec.job_class != kNone) {
+        auto it =
+            std::find_if(job_class_profiles.begin(), job_class_profiles.end(),
+                         [&](const JobClassProfile& s) { return s.job_class == j.spec.job_class; });
+        if (it == job_class_profiles.end()) {
+            it = job_class_profiles.insert(job_class_profiles.end(), JobClassProfile{});
         }
-        *it = {j.spec.lane, j.spec, now};
+        *it = {j.spec.job_class, j.spec, now};
     }
-    j.chunks.resize((j.spec.tasks + j.spec.chunk - 1) / j.spec.chunk);
+    j.placement_records.resize((j.spec.tasks + j.spec.tasks_per_record - 1) /
+                               j.spec.tasks_per_record);
     job_ids_[j.spec.id] = id;
     return id;
 }
@@ -59,15 +63,15 @@
 void ClusterState::remove_job(Id id) {
     Job& j = jobs[id];
     bool ended_well = j.done == j.spec.tasks;
-    for (std::uint32_t c = 0; c < j.chunks.size(); ++c) {
-        if (!j.chunks[c]) {
+    for (std::uint32_t c = 0; c < j.placement_records.size(); ++c) {
+        if (!j.placement_records[c]) {
             continue;
         }
-        for (std::uint32_t i = 0; i < j.chunks[c]->tasks.size(); ++i) {
-            unseat({id, c * j.spec.chunk + i});
+        for (std::uint32_t i = 0; i < j.placement_records[c]->tasks.size(); ++i) {
+            unassign({id, c * j.spec.tasks_per_record + i});
         }
     }
-    for (std::uint32_t c = 0; c < j.chunks.size(); ++c) {
+    for (std::uint32_t c = 0; c < j.placement_records.size(); ++c) {
         dirty.erase({id, c});
     }
     job_ids_.erase(j.spec.id);
@@ -84,7 +88,7 @@
     return it == machine_ids_.end() ? kNone : it->second;
 }
 
-Id ClusterState::add_machine(const std::string& name, Id kind, Id zone, bool spot, Ms now) {
+Id ClusterState::add_machine(const std::string& name, Id machine_type, Id zone, bool spot, Ms now) {
     Id id = find_machine(name);
     if (id != kNone) {
         return id;
@@ -92,11 +96,11 @@
     id = static_cast<Id>(machines.size());
     Machine m;
     m.name = name;
-    m.kind = kind;
+    m.machine_type = machine_type;
     m.zone = zone;
     m.spot = spot;
     m.known_since = now;
-    m.rented_at = now;
+    m.requested_at = now;
     m.idle_since = now;
     machines.push_back(std::move(m));
     machine_ids_[name] = id;
@@ -105,15 +109,16 @@
 
 void ClusterState::forget_machine(Id id) {
     Machine& m = machines[id];
-    m.gone = true;
-    m.held = false;
+    m.terminated = true;
+    m.registered = false;
     m.images.clear();
     machine_ids_.erase(m.name);
 }
 
-std::uint32_t ClusterState::slots(const JobSpec& s, Id kind, Id zone, bool spot,
-                                  const Amounts& free) {
-    if (!s.allows_kind(kind) || (s.zone != kNone && s.zone != zone) || (spot && !s.spot)) {
+std::uint32_t ClusterState::slots(const JobSpec& s, Id machine_type, Id zone, bool spot,
+                                  const Resources& free) {
+    if (!s.allows_machine_type(machine_type) || (s.zone != kNone && s.zone != zone) ||
+        (spot && !s.spot)) {
         return 0;
     }
     double n = 1000;
@@ -126,34 +131,34 @@
     return n <= 0 ? 0 : static_cast<std::uint32_t>(n);
 }
 
-std::uint32_t ClusterState::chunk_size(const JobSpec& spec, std::uint32_t index) const {
-    return std::min(spec.chunk, spec.tasks - index * spec.chunk);
+std::uint32_t ClusterState::record_size(const JobSpec& spec, std::uint32_t index) const {
+    return std::min(spec.tasks_per_record, spec.tasks - index * spec.tasks_per_record);
 }
 
-Chunk& ClusterState::chunk(Id job, std::uint32_t index) {
+PlacementRecord& ClusterState::placement_record(Id job, std::uint32_t index) {
     Job& j = jobs[job];
-    auto& slot = j.chunks.at(index);
+    auto& slot = j.placement_records.at(index);
     if (!slot) {
-        slot = std::make_unique<Chunk>();
-        slot->tasks.resize(chunk_size(j.spec, index));
+        slot = std::make_unique<PlacementRecord>();
+        slot->tasks.resize(record_size(j.spec, index));
     }
     return *slot;
 }
 
-Chunk& ClusterState::chunk_of(TaskRef ref) {
-    return chunk(ref.job, ref.task / jobs[ref.job].spec.chunk);
+PlacementRecord& ClusterState::placement_record_of(TaskRef ref) {
+    return placement_record(ref.job, ref.task / jobs[ref.job].spec.tasks_per_record);
 }
 
 Task& ClusterState::task(TaskRef ref) {
-    return chunk_of(ref).tasks.at(ref.task % jobs[ref.job].spec.chunk);
+    return placement_record_of(ref).tasks.at(ref.task % jobs[ref.job].spec.tasks_per_record);
 }
 
-int ClusterState::images_on_their_way(const Machine& machine) {
+int ClusterState::image_fetches_in_progress(const Machine& machine) {
     std::vector<Id> images;
     for (TaskRef ref : machine.tasks) {
         const Task& t = task(ref);
-        bool fetches =
-            t.state == TaskState::pulling || t.phase == Phase::placed || t.phase == Phase::sent;
+        bool fetches = t.state == TaskState::pulling || t.phase == TaskPhase::assigned ||
+                       t.phase == TaskPhase::dispatched;
         Id image = jobs[ref.job].spec.image;
         if (fetches && image != kNone &&
             std::find(images.begin(), images.end(), image) == images.end()) {
@@ -163,18 +168,18 @@
     return static_cast<int>(images.size());
 }
 
-void ClusterState::place(TaskRef ref, Id machine, std::uint32_t attempt, Ms now) {
+void ClusterState::assign(TaskRef ref, Id machine, std::uint32_t attempt, Ms now) {
     Job& j = jobs[ref.job];
     Task& t = task(ref);
     t.attempt = attempt;
     t.machine = machine;
-    t.phase = Phase::placed;
+    t.phase = TaskPhase::assigned;
     t.state = TaskState::unknown;
     t.inherited = false;
-    t.halting = false;
+    t.stopping = false;
     t.rerun = false;
-    t.excused = false;
-    t.halt_told = -1;
+    t.failure_not_counted = false;
+    t.stop_sent_at = -1;
     t.running_since = -1;
     t.since = now;
     Machine& m = machines[machine];
@@ -183,15 +188,15 @@
     if (j.spec.image != kNone) {
         m.images[j.spec.image] = now;
     }
-    ++j.placed;
+    ++j.assigned;
     ++j.zones[m.zone];
     if (j.spec.team < used_.size()) {
         used_[j.spec.team] += j.spec.each;
     }
-    touch(ref);
+    mark_dirty(ref);
 }
 
-void ClusterState::unseat(TaskRef ref) {
+void ClusterState::unassign(TaskRef ref) {
     Task& t = task(ref);
     if (t.machine == kNone) {
         return;
@@ -203,7 +208,7 @@
     if (m.tasks.empty()) {
         m.used = {};
     }
-    --j.placed;
+    --j.assigned;
     if (--j.zones[m.zone] == 0) {
         j.zones.erase(m.zone);
     }
@@ -211,24 +216,24 @@
         used_[j.spec.team] -= j.spec.each;
     }
     t.machine = kNone;
-    t.halting = false;
-    touch(ref);
+    t.stopping = false;
+    mark_dirty(ref);
 }
 
 void ClusterState::requeue(TaskRef ref, Ms now) {
     Id machine = task(ref).machine;
-    unseat(ref);
+    unassign(ref);
     Task& t = task(ref);
-    if (t.phase == Phase::done || t.phase == Phase::idle) {
+    if (t.phase == TaskPhase::done || t.phase == TaskPhase::pending) {
         return;
     }
-    t.phase = Phase::idle;
+    t.phase = TaskPhase::pending;
     t.since = now;
     Job& j = jobs[ref.job];
     if (j.waiting() == 0) {
         j.waiting_since = now;
     }
-    j.again.push_back(ref.task);
+    j.retry_queue.push_back(ref.task);
     if (machine != kNone) {
         j.interrupted_in = machines[machine].zone;
         j.interrupted_at = now;
@@ -236,23 +241,23 @@
 }
 
 void ClusterState::mark_done(TaskRef ref) {
-    unseat(ref);
+    unassign(ref);
     Task& t = task(ref);
-    if (t.phase == Phase::done) {
+    if (t.phase == TaskPhase::done) {
         return;
     }
-    if (t.phase == Phase::idle) {
+    if (t.phase == TaskPhase::pending) {
         // It came back done while it waited to be placed again.
-        auto& again = jobs[ref.job].again;
-        auto it = std::find(again.begin(), again.end(), ref.task);
-        if (it == again.end()) {
+        auto& retry_queue = jobs[ref.job].retry_queue;
+        auto it = std::find(retry_queue.begin(), retry_queue.end(), ref.task);
+        if (it == retry_queue.end()) {
             return;
         }
-        again.erase(it);
+        retry_queue.erase(it);
     }
-    t.phase = Phase::done;
+    t.phase = TaskPhase::done;
     ++jobs[ref.job].done;
-    touch(ref);
+    mark_dirty(ref);
 }
 
 namespace {
@@ -265,39 +270,39 @@
 }
 }  // namespace
 
-std::uint32_t ClusterState::limit_room(Id team, const Amounts& each) const {
+std::uint32_t ClusterState::quota_headroom(Id team, const Resources& each) const {
     if (team >= teams_.size()) {
         return 0;
     }
-    const Amounts& limit = teams_[team].limit;
+    const Resources& limit = teams_[team].quota;
     return std::min(room(limit.cpus, used_[team].cpus, each.cpus),
                     room(limit.gpus, used_[team].gpus, each.gpus));
 }
 
-bool ClusterState::within_limit(Id team, const Amounts& more) const {
-    return limit_room(team, more) > 0;
+bool ClusterState::within_quota(Id team, const Resources& more) const {
+    return quota_headroom(team, more) > 0;
 }
 
-bool ClusterState::within_guarantee(Id team, const Amounts& more) const {
+bool ClusterState::within_guaranteed_share(Id team, const Resources& more) const {
     if (team >= teams_.size()) {
         return false;
     }
-    const Amounts& g = teams_[team].guarantee;
-    Amounts total = used_[team] + more;
+    const Resources& g = teams_[team].guaranteed_share;
+    Resources total = used_[team] + more;
     return total.cpus <= g.cpus + 1e-6 && (more.gpus <= 0 || total.gpus <= g.gpus + 1e-6);
 }
 
 std::vector<TaskRecord> ClusterState::snapshot(Id job, std::uint32_t index) const {
     const Job& j = jobs[job];
-    std::vector<TaskRecord> records(chunk_size(j.spec, index));
-    const auto& slot = j.chunks.at(index);
+    std::vector<TaskRecord> records(record_size(j.spec, index));
+    const auto& slot = j.placement_records.at(index);
     if (!slot) {
         return records;
     }
     for (std::size_t i = 0; i < records.size(); ++i) {
         const Task& t = slot->tasks[i];
         records[i].attempt = t.attempt;
-        records[i].done = t.phase == Phase::done;
+        records[i].done = t.phase == TaskPhase::done;
         if (!records[i].done && t.machine != kNone) {
             records[i].machine = machines[t.machine].name;
         }
@@ -306,89 +311,92 @@
 }
 
 bool ClusterState::durable(Id job, std::uint32_t index) const {
-    const auto& slot = jobs[job].chunks.at(index);
+    const auto& slot = jobs[job].placement_records.at(index);
     if (!slot) {
         return true;
     }
     return std::all_of(slot->tasks.begin(), slot->tasks.end(), [](const Task& t) {
-        bool done = t.phase == Phase::done;
-        if (t.c_doubt || done != t.c_done) {
+        bool done = t.phase == TaskPhase::done;
+        if (t.write_outcome_unknown || done != t.durable_done) {
             return false;
         }
-        return done || (t.machine == t.c_machine && t.attempt == t.c_attempt);
+        return done || (t.machine == t.durable_machine && t.attempt == t.durable_attempt);
     });
 }
 
-void ClusterState::doubt(Id job, std::uint32_t index, const std::vector<TaskRecord>& written) {
-    Chunk& c = chunk(job, index);
+void ClusterState::mark_write_started(Id job, std::uint32_t index,
+                                      const std::vector<TaskRecord>& written) {
+    PlacementRecord& c = placement_record(job, index);
     for (std::size_t i = 0; i < c.tasks.size(); ++i) {
         Task& t = c.tasks[i];
         Id machine = written[i].machine.empty() ? kNone : find_machine(written[i].machine);
-        if (t.c_attempt != written[i].attempt || t.c_done != written[i].done ||
-            t.c_machine != machine) {
-            t.c_doubt = true;
+        if (t.durable_attempt != written[i].attempt || t.durable_done != written[i].done ||
+            t.durable_machine != machine) {
+            t.write_outcome_unknown = true;
         }
     }
 }
 
 void ClusterState::commit(Id job, std::uint32_t index, const std::vector<TaskRecord>& stored,
-                          std::uint64_t stamp) {
-    Chunk& c = chunk(job, index);
-    c.stamp = stamp;
+                          std::uint64_t version) {
+    PlacementRecord& c = placement_record(job, index);
+    c.version = version;
     for (std::size_t i = 0; i < c.tasks.size() && i < stored.size(); ++i) {
         Task& t = c.tasks[i];
-        t.c_attempt = stored[i].attempt;
-        t.c_done = stored[i].done;
-        t.c_doubt = false;
-        t.c_machine = stored[i].machine.empty() ? kNone : find_machine(stored[i].machine);
+        t.durable_attempt = stored[i].attempt;
+        t.durable_done = stored[i].done;
+        t.write_outcome_unknown = false;
+        t.durable_machine = stored[i].machine.empty() ? kNone : find_machine(stored[i].machine);
     }
 }
 
-void ClusterState::load_job(const JobView& view, const std::map<std::uint32_t, StoredValue>* chunks,
-                            Ms now) {
-    Id job = add_job(view, now);
-    if (!chunks) {
+void ClusterState::load_job(const StoredJob& stored_job,
+                            const std::map<std::uint32_t, StoredValue>* placement_records, Ms now) {
+    Id job = add_job(stored_job, now);
+    if (!placement_records) {
         return;
     }
     Job& j = jobs[job];
-    for (const auto& [index, stored] : *chunks) {
-        if (index >= j.chunks.size()) {
+    for (const auto& [index, stored] : *placement_records) {
+        if (index >= j.placement_records.size()) {
             continue;
         }
-        Chunk& c = chunk(job, index);
+        PlacementRecord& c = placement_record(job, index);
         std::vector<TaskRecord> records(c.tasks.size());
-        if (!decode_chunk(stored.value, records)) {
+        if (!decode_placement_record(stored.value, records)) {
             continue;
         }
         for (std::uint32_t i = 0; i < records.size(); ++i) {
             const TaskRecord& r = records[i];
-            TaskRef ref{job, index * j.spec.chunk + i};
+            TaskRef ref{job, index * j.spec.tasks_per_record + i};
             Task& t = c.tasks[i];
             t.attempt = r.attempt;
             if (r.done) {
-                t.phase = Phase::done;
+                t.phase = TaskPhase::done;
                 ++j.done;
             } else if (!r.machine.empty()) {
                 Id m = find_machine(r.machine);
                 if (m == kNone) {
                     // Its machine has left the registry: a return was answered, so it is gone.
-                    t.phase = Phase::idle;
+                    t.phase = TaskPhase::pending;
                 } else {
-                    place(ref, m, r.attempt, now);
+                    assign(ref, m, r.attempt, now);
                     t.inherited = true;
                 }
             }
         }
-        commit(job, index, records, stored.stamp);
+        commit(job, index, records, stored.version);
         dirty.erase({job, index});
     }
     // What is neither done nor placed waits. Everything beyond the last known chunk is fresh.
-    std::uint32_t known =
-        chunks->empty() ? 0 : std::min(j.spec.tasks, (chunks->rbegin()->first + 1) * j.spec.chunk);
-    j.next_fresh = known;
+    std::uint32_t known = placement_records->empty()
+                              ? 0
+                              : std::min(j.spec.tasks, (placement_records->rbegin()->first + 1) *
+                                                           j.spec.tasks_per_record);
+    j.next_unassigned = known;
     for (std::uint32_t i = 0; i < known; ++i) {
-        if (task({job, i}).phase == Phase::idle) {
-            j.again.push_back(i);
+        if (task({job, i}).phase == TaskPhase::pending) {
+            j.retry_queue.push_back(i);
         }
     }
 }
--- a/src/bookkeeping/records.cpp
+++ b/src/bookkeeping/records.cpp
@@ -19,7 +19,7 @@
 }
 }  // namespace
 
-std::string chunk(const std::string& job, std::uint32_t index) {
+std::string placement_record(const std::string& job, std::uint32_t index) {
     return kTasks + job + "/" + std::to_string(index);
 }
 std::string registry_part(std::uint32_t index) {
@@ -34,7 +34,8 @@
     }
     return parse_index(std::string_view(key).substr(kRegistryParts.size()));
 }
-std::optional<std::pair<std::string, std::uint32_t>> parse_chunk(const std::string& key) {
+std::optional<std::pair<std::string, std::uint32_t>> parse_placement_record(
+    const std::string& key) {
     if (key.rfind(kTasks, 0) != 0) {
         return std::nullopt;
     }
@@ -91,15 +92,15 @@
     if ((flags & kFlagService) != 0) {
         return JobShape::service;
     }
-    return (flags & kFlagGang) != 0 ? JobShape::gang : JobShape::batch;
+    return (flags & kFlagGang) != 0 ? JobShape::gang : JobShape::array;
 }
 }  // namespace
 
 Json encode_cancelled_job(const JobSpec& spec, const Names& names) {
     JobSpec shortened = spec;
-    shortened.lane = kNone;
-    shortened.any_kind = true;
-    shortened.kinds.clear();
+    shortened.job_class = kNone;
+    shortened.any_machine_type = true;
+    shortened.machine_types.clear();
     shortened.image = kNone;
     return encode_job({std::move(shortened), true}, names);
 }
@@ -109,21 +110,22 @@
     Json v = Json::object();
     v["s"] = job.cancelled ? "c" : "a";
     v[count_field(s)] = s.tasks;
-    v["c"] = s.chunk;
+    v["c"] = s.tasks_per_record;
     v["o"] = names.teams.name(s.team);
-    if (s.lane != kNone) {
-        v["l"] = names.lanes.name(s.lane);
+    if (s.job_class != kNone) {
+        v["l"] = names.job_classes.name(s.job_class);
     }
     v["p"] = static_cast<int>(s.priority);
     v["f"] = encode_flags(s);
     v["r"] = Json::array({s.each.cpus, s.each.gpus, s.each.ram});
-    v["t"] = Json::array({s.estimate_s, s.checkpoint_s, s.save_s, s.deadline_s});
-    if (!s.any_kind) {
-        Json kinds = Json::array();
-        for (Id k : s.kinds) {
-            kinds.push_back(names.kinds.name(k));
+    v["t"] =
+        Json::array({s.estimate_s, s.checkpoint_interval_s, s.checkpoint_duration_s, s.deadline_s});
+    if (!s.any_machine_type) {
+        Json machine_types = Json::array();
+        for (Id k : s.machine_types) {
+            machine_types.push_back(names.machine_types.name(k));
         }
-        v["k"] = std::move(kinds);
+        v["k"] = std::move(machine_types);
     }
     if (s.zone != kNone) {
         v["z"] = names.zones.name(s.zone);
@@ -143,10 +145,10 @@
         int flags = v.at("f").get<int>();
         s.shape = decode_shape(flags);
         s.tasks = v.at(count_field(s)).get<std::uint32_t>();
-        s.chunk = std::max<std::uint32_t>(1, v.at("c").get<std::uint32_t>());
+        s.tasks_per_record = std::max<std::uint32_t>(1, v.at("c").get<std::uint32_t>());
         s.team = names.teams.intern(v.at("o").get<std::string>());
         if (v.contains("l")) {
-            s.lane = names.lanes.intern(v["l"].get<std::string>());
+            s.job_class = names.job_classes.intern(v["l"].get<std::string>());
         }
         s.priority = static_cast<Priority>(std::clamp(v.at("p").get<int>(), 0, 3));
         s.one_zone = (flags & kFlagOneZone) != 0;
@@ -156,13 +158,13 @@
         s.each = {r.at(0).get<double>(), r.at(1).get<double>(), r.at(2).get<double>()};
         const Json& t = v.at("t");
         s.estimate_s = t.at(0).get<double>();
-        s.checkpoint_s = t.at(1).get<double>();
-        s.save_s = t.at(2).get<double>();
+        s.checkpoint_interval_s = t.at(1).get<double>();
+        s.checkpoint_duration_s = t.at(2).get<double>();
         s.deadline_s = t.at(3).get<double>();
         if (v.contains("k")) {
-            s.any_kind = false;
+            s.any_machine_type = false;
             for (const Json& k : v["k"]) {
-                s.kinds.push_back(names.kinds.intern(k.get<std::string>()));
+                s.machine_types.push_back(names.machine_types.intern(k.get<std::string>()));
             }
         }
         if (v.contains("z")) {
@@ -189,7 +191,7 @@
     }
 }
 
-Json encode_chunk(const std::vector<TaskRecord>& tasks) {
+Json encode_placement_record(const std::vector<TaskRecord>& tasks) {
     Json done = Json::array();
     Json used = Json::array();
     std::map<std::string, Json> placed;
@@ -224,7 +226,7 @@
     return v;
 }
 
-bool decode_chunk(const Json& v, std::vector<TaskRecord>& tasks) {
+bool decode_placement_record(const Json& v, std::vector<TaskRecord>& tasks) {
     try {
         for (TaskRecord& t : tasks) {
             t = {};
@@ -258,26 +260,26 @@
     }
 }
 
-Json encode_kinds(const std::vector<Kind>& kinds, const Names& names) {
+Json encode_machine_types(const std::vector<MachineType>& machine_types, const Names& names) {
     Json v = Json::array();
-    for (const Kind& k : kinds) {
+    for (const MachineType& k : machine_types) {
         Json zones = Json::array();
         for (Id z : k.zones) {
             zones.push_back(names.zones.name(z));
         }
-        v.push_back(
-            Json::array({names.kinds.name(k.id), k.size.cpus, k.size.gpus, k.size.ram, k.cache_gb,
-                         k.fetch_gb_per_s, k.price, k.spot_price, k.boot_s, std::move(zones)}));
+        v.push_back(Json::array({names.machine_types.name(k.id), k.size.cpus, k.size.gpus,
+                                 k.size.ram, k.cache_gb, k.fetch_gb_per_s, k.price, k.spot_price,
+                                 k.boot_s, std::move(zones)}));
     }
     return v;
 }
 
-std::vector<Kind> decode_kinds(const Json& v, Names& names) {
-    std::vector<Kind> kinds;
+std::vector<MachineType> decode_machine_types(const Json& v, Names& names) {
+    std::vector<MachineType> machine_types;
     try {
         for (const Json& row : v) {
-            Kind k;
-            k.id = names.kinds.intern(row.at(0).get<std::string>());
+            MachineType k;
+            k.id = names.machine_types.intern(row.at(0).get<std::string>());
             k.size = {row.at(1).get<double>(), row.at(2).get<double>(), row.at(3).get<double>()};
             k.cache_gb = row.at(4).get<double>();
             k.fetch_gb_per_s = row.at(5).get<double>();
@@ -287,12 +289,12 @@
             for (const Json& z : row.at(9)) {
                 k.zones.push_back(names.zones.intern(z.get<std::string>()));
             }
-            kinds.push_back(std::move(k));
+            machine_types.push_back(std::move(k));
         }
     } catch (const Json::exception&) {
-        kinds.clear();
+        machine_types.clear();
     }
-    return kinds;
+    return machine_types;
 }
 
 Json encode_announcement(std::uint32_t level) { return Json{{"l", level}}; }
@@ -304,7 +306,9 @@
     }
 }
 
-Json encode_relay(const RelayRecord& relay) { return Json{{"t", relay.token}, {"z", relay.zone}}; }
+Json encode_relay(const RelayRecord& relay) {
+    return Json{{"t", relay.fencing_token}, {"z", relay.zone}};
+}
 std::optional<RelayRecord> decode_relay(const Json& v) {
     try {
         return RelayRecord{v.at("t").get<std::uint64_t>(), v.at("z").get<std::string>()};
@@ -314,7 +318,7 @@
 }
 
 Json encode_leader(const LeaderRecord& l) {
-    return Json{{"node", l.node}, {"incarnation", l.incarnation}};
+    return Json{{"node", l.controller}, {"incarnation", l.incarnation}};
 }
 std::optional<LeaderRecord> decode_leader(const Json& v) {
     try {
--- a/src/bookkeeping/records.hpp
+++ b/src/bookkeeping/records.hpp
@@ -15,7 +15,7 @@
 inline const std::string kRoot = "w/";
 inline const std::string kLeader = "w/leader";
 inline const std::string kRegistry = "w/machines";
-inline const std::string kKinds = "w/kinds";
+inline const std::string kMachineTypes = "w/kinds";
 inline const std::string kJobs = "w/j/";
 inline const std::string kEnded = "w/d/";
 inline const std::string kTasks = "w/t/";
@@ -24,16 +24,18 @@
 inline const std::string kRelays = "w/r/";
 inline const std::string kZoneRecords = "w/z/";
 inline std::string zone_record(const std::string& zone) { return kZoneRecords + zone; }
-inline std::string relay(const std::string& node) { return kRelays + node; }
-inline std::string announcement(const std::string& node) { return kAnnouncements + node; }
+inline std::string relay(const std::string& controller) { return kRelays + controller; }
+inline std::string announcement(const std::string& controller) {
+    return kAnnouncements + controller;
+}
 // Part 0 is the registry's first value, which is all there is while that one holds it.
 std::string registry_part(std::uint32_t index);
 std::optional<std::uint32_t> parse_registry_part(const std::string& key);
 inline std::string job(const std::string& id) { return kJobs + id; }
 inline std::string ended(const std::string& id) { return kEnded + id; }
-std::string chunk(const std::string& job, std::uint32_t index);
+std::string placement_record(const std::string& job, std::uint32_t index);
 // Splits a chunk's key; nothing when it isn't one.
-std::optional<std::pair<std::string, std::uint32_t>> parse_chunk(const std::string& key);
+std::optional<std::pair<std::string, std::uint32_t>> parse_placement_record(const std::string& key);
 }  // namespace keys
 
 // Ids come from users and become part of a key: only `j-` and up to 60 letters, digits, dashes.
@@ -64,11 +66,11 @@
 };
 // Tasks [first, first + n) of a job: done ones as ranges, placed ones with machine and attempt,
 // the rest only where an attempt was used.
-Json encode_chunk(const std::vector<TaskRecord>& tasks);
-bool decode_chunk(const Json& value, std::vector<TaskRecord>& tasks);
+Json encode_placement_record(const std::vector<TaskRecord>& tasks);
+bool decode_placement_record(const Json& value, std::vector<TaskRecord>& tasks);
 
-Json encode_kinds(const std::vector<Kind>& kinds, const Names& names);
-std::vector<Kind> decode_kinds(const Json& value, Names& names);
+Json encode_machine_types(const std::vector<MachineType>& machine_types, const Names& names);
+std::vector<MachineType> decode_machine_types(const Json& value, Names& names);
 
 // The feature level that a controller's version supports.
 Json encode_announcement(std::uint32_t level);
@@ -76,14 +78,14 @@
 
 // A controller answers the workers of a zone for the leader with that token.
 struct RelayRecord {
-    std::uint64_t token = 0;
+    std::uint64_t fencing_token = 0;
     std::string zone;
 };
 Json encode_relay(const RelayRecord& relay);
 std::optional<RelayRecord> decode_relay(const Json& value);
 
 struct LeaderRecord {
-    std::string node;
+    std::string controller;
     std::string incarnation;
 };
 Json encode_leader(const LeaderRecord& leader);
--- a/src/bookkeeping/registry_record.cpp
+++ b/src/bookkeeping/registry_record.cpp
@@ -136,42 +136,44 @@
 // Rows: machines of one kind, zone, sort and name prefix, and their numbers; kinds and zones by
 // their place in two lists. Permanent ones and those on their way back are marked in rows of their
 // own: they would split the others into several times as many.
-Json encode_registry(const Registry& r, const Names& names) {
-    std::map<std::string, std::size_t> kinds, zones;
+Json encode_registry(const RegistryRecord& r, const Names& names) {
+    std::map<std::string, std::size_t> machine_types, zones;
     auto place = [](std::map<std::string, std::size_t>& list, const std::string& name) {
         return list.try_emplace(name, list.size()).first->second;
     };
     using Group = std::tuple<std::string, int, std::size_t, std::size_t, int>;
     std::map<Group, std::vector<std::uint64_t>> groups, permanent, returning;
-    for (const HeldMachine& h : r.machines) {
+    for (const RegisteredMachine& h : r.machines) {
         auto [prefix, width, number] = split_name(h.name);
         if (h.permanent) {
             permanent[{prefix, width, 0, 0, 0}].push_back(number);
         }
-        if (h.returning) {
+        if (h.releasing) {
             returning[{prefix, width, 0, 0, 0}].push_back(number);
         }
-        groups[{std::move(prefix), width, place(kinds, names.kinds.name(h.kind)),
+        groups[{std::move(prefix), width,
+                place(machine_types, names.machine_types.name(h.machine_type)),
                 place(zones, names.zones.name(h.zone)), h.spot ? 1 : 0}]
             .push_back(number);
     }
     auto rows = [](std::map<Group, std::vector<std::uint64_t>>& list, bool marks) {
         Json all = Json::array();
         for (auto& [g, numbers] : list) {
-            const auto& [prefix, width, kind, zone, flags] = g;
+            const auto& [prefix, width, machine_type, zone, flags] = g;
             std::sort(numbers.begin(), numbers.end());
             numbers.erase(std::unique(numbers.begin(), numbers.end()), numbers.end());
             std::string steps = Steps::write(numbers);
             all.push_back(marks ? Json::array({prefix, width, steps})
-                                : Json::array({prefix, width, kind, zone, flags, steps}));
+                                : Json::array({prefix, width, machine_type, zone, flags, steps}));
         }
         return all;
     };
-    Json rentals = Json::array();
-    for (const RentalRequest& h : r.rentals) {
-        rentals.push_back(Json::array({h.name, place(kinds, names.kinds.name(h.kind)),
-                                       place(zones, names.zones.name(h.zone)),
-                                       (h.spot ? 1 : 0) | (h.permanent ? 2 : 0), h.count}));
+    Json scale_out_requests = Json::array();
+    for (const ScaleOutRequest& h : r.scale_out_requests) {
+        scale_out_requests.push_back(
+            Json::array({h.name, place(machine_types, names.machine_types.name(h.machine_type)),
+                         place(zones, names.zones.name(h.zone)),
+                         (h.spot ? 1 : 0) | (h.permanent ? 2 : 0), h.count}));
     }
     auto listed = [](const std::map<std::string, std::size_t>& list) {
         Json v = Json::array();
@@ -184,9 +186,9 @@
         return v;
     };
     Json v = Json::object();
-    v["n"] = r.next_hire;
-    v["f"] = r.first_rented ? 1 : 0;
-    v["k"] = listed(kinds);
+    v["n"] = r.next_request_number;
+    v["f"] = r.first_scale_out_done ? 1 : 0;
+    v["k"] = listed(machine_types);
     v["z"] = listed(zones);
     v["m"] = rows(groups, false);
     if (!permanent.empty()) {
@@ -195,15 +197,15 @@
     if (!returning.empty()) {
         v["r"] = rows(returning, true);
     }
-    v["h"] = std::move(rentals);
+    v["h"] = std::move(scale_out_requests);
     return v;
 }
 
-std::optional<Registry> decode_registry(const Json& v, Names& names) {
+std::optional<RegistryRecord> decode_registry(const Json& v, Names& names) {
     try {
-        Registry r;
-        r.next_hire = v.at("n").get<std::uint64_t>();
-        r.first_rented = v.at("f").get<int>() != 0;
+        RegistryRecord r;
+        r.next_request_number = v.at("n").get<std::uint64_t>();
+        r.first_scale_out_done = v.at("f").get<int>() != 0;
         // Before 0.2 a row held the names themselves and the numbers in full; 0.2 had decimal
         // steps.
         bool listed = v.contains("k");
@@ -214,7 +216,7 @@
         for (const Json& row : v.at("m")) {
             auto prefix = row.at(0).get<std::string>();
             int width = row.at(1).get<int>();
-            Id kind = names.kinds.intern(name("k", row.at(2)));
+            Id machine_type = names.machine_types.intern(name("k", row.at(2)));
             Id zone = names.zones.intern(name("z", row.at(3)));
             int flags = row.at(4).get<int>();
             std::vector<std::uint64_t> numbers;
@@ -232,7 +234,7 @@
                 }
             }
             for (std::uint64_t number : numbers) {
-                r.machines.push_back({join_name(prefix, width, number), kind, zone,
+                r.machines.push_back({join_name(prefix, width, number), machine_type, zone,
                                       (flags & 1) != 0, (flags & 2) != 0, (flags & 4) != 0});
             }
         }
@@ -248,17 +250,18 @@
                         join_name(row.at(0).get<std::string>(), row.at(1).get<int>(), number));
                 }
             }
-            for (HeldMachine& h : r.machines) {
+            for (RegisteredMachine& h : r.machines) {
                 if (marked.count(h.name)) {
-                    (*mark == 'p' ? h.permanent : h.returning) = true;
+                    (*mark == 'p' ? h.permanent : h.releasing) = true;
                 }
             }
         }
         for (const Json& h : v.at("h")) {
             int flags = h.at(3).get<int>();
-            r.rentals.push_back({h.at(0).get<std::string>(), names.kinds.intern(name("k", h.at(1))),
-                                 names.zones.intern(name("z", h.at(2))), (flags & 1) != 0,
-                                 h.at(4).get<std::uint32_t>(), (flags & 2) != 0});
+            r.scale_out_requests.push_back(
+                {h.at(0).get<std::string>(), names.machine_types.intern(name("k", h.at(1))),
+                 names.zones.intern(name("z", h.at(2))), (flags & 1) != 0,
+                 h.at(4).get<std::uint32_t>(), (flags & 2) != 0});
         }
         return r;
     } catch (const Json::exception&) {
--- a/src/bookkeeping/registry_record.hpp
+++ b/src/bookkeeping/registry_record.hpp
@@ -6,31 +6,31 @@
 
 namespace walkford {
 
-struct RentalRequest {
+struct ScaleOutRequest {
     std::string name;
-    Id kind = kNone;
+    Id machine_type = kNone;
     Id zone = kNone;
     bool spot = false;
     std::uint32_t count = 0;
     bool permanent = false;
 };
-struct HeldMachine {
+struct RegisteredMachine {
     std::string name;
-    Id kind = kNone;
+    Id machine_type = kNone;
     Id zone = kNone;
     bool spot = false;
     bool permanent = false;
-    bool returning = false;
+    bool releasing = false;
 };
 // The design's one small value, or one part of it where one value does not hold them all. A part
 // but the first has machines only.
-struct Registry {
-    std::uint64_t next_hire = 1;
-    bool first_rented = false;  // a first rental has been made: later ones are temporary
-    std::vector<RentalRequest> rentals;
-    std::vector<HeldMachine> machines;
+struct RegistryRecord {
+    std::uint64_t next_request_number = 1;
+    bool first_scale_out_done = false;  // a first rental has been made: later ones are temporary
+    std::vector<ScaleOutRequest> scale_out_requests;
+    std::vector<RegisteredMachine> machines;
 };
-Json encode_registry(const Registry& registry, const Names& names);
-std::optional<Registry> decode_registry(const Json& value, Names& names);
+Json encode_registry(const RegistryRecord& registry, const Names& names);
+std::optional<RegistryRecord> decode_registry(const Json& value, Names& names);
 
 }  // namespace walkford
--- a/src/bookkeeping/types.hpp
+++ b/src/bookkeeping/types.hpp
@@ -18,28 +18,30 @@
 // Steady clocks of two machines drift apart by up to 0.05%; twice that is allowed for.
 inline Ms with_drift(Ms span) { return span + span / 1000 + 1; }
 
-struct Amounts {
+struct Resources {
     double cpus = 0;
     double gpus = 0;
     double ram = 0;
 
-    Amounts& operator+=(const Amounts& o) {
+    Resources& operator+=(const Resources& o) {
         cpus += o.cpus;
         gpus += o.gpus;
         ram += o.ram;
         return *this;
     }
-    Amounts& operator-=(const Amounts& o) {
+    Resources& operator-=(const Resources& o) {
         cpus -= o.cpus;
         gpus -= o.gpus;
         ram -= o.ram;
         return *this;
     }
-    friend Amounts operator+(Amounts a, const Amounts& b) { return a += b; }
-    friend Amounts operator-(Amounts a, const Amounts& b) { return a -= b; }
-    friend Amounts operator*(Amounts a, double f) { return {a.cpus * f, a.gpus * f, a.ram * f}; }
+    friend Resources operator+(Resources a, const Resources& b) { return a += b; }
+    friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
+    friend Resources operator*(Resources a, double f) {
+        return {a.cpus * f, a.gpus * f, a.ram * f};
+    }
     // Sums of decimals wander in the last bits; a millionth is not a resource.
-    bool fits_in(const Amounts& room) const {
+    bool fits_in(const Resources& room) const {
         constexpr double kSlack = 1e-6;
         return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack && ram <= room.ram + kSlack;
     }
@@ -71,18 +73,18 @@
 };
 
 struct Names {
-    Interner kinds;
+    Interner machine_types;
     Interner zones;
     Interner teams;
     Interner images;
-    Interner lanes;
+    Interner job_classes;
 };
 
 enum class Priority : std::uint8_t { best_effort = 0, normal = 1, high = 2, production = 3 };
 
 // How the tasks of a job belong together.
 enum class JobShape : std::uint8_t {
-    batch,    // independent tasks, each of which runs to completion
+    array,    // independent tasks, each of which runs to completion
     gang,     // all tasks run at the same time, or none does
     service,  // independent replicas that run until the job is cancelled
 };
@@ -90,31 +92,31 @@
 struct JobSpec {
     std::string id;
     Id team = kNone;
-    Id lane = kNone;  // the class of jobs it belongs to
-    JobShape shape = JobShape::batch;
+    Id job_class = kNone;  // the class of jobs it belongs to
+    JobShape shape = JobShape::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 1;
-    Amounts each;
-    bool any_kind = true;
-    std::vector<Id> kinds;  // allowed ones, unless any_kind
-    Id zone = kNone;        // the only allowed one, or kNone
+    Resources each;
+    bool any_machine_type = true;
+    std::vector<Id> machine_types;  // allowed ones, unless any_machine_type
+    Id zone = kNone;                // the only allowed one, or kNone
     bool one_zone = false;
     bool spread = false;
     bool spot = false;
     Id image = kNone;
     double image_gb = 0;
     double estimate_s = 0;
-    double checkpoint_s = 0;
-    double save_s = 0;
+    double checkpoint_interval_s = 0;
+    double checkpoint_duration_s = 0;
     double deadline_s = -1;
-    std::uint32_t chunk = 64;  // tasks to a placement record
+    std::uint32_t tasks_per_record = 64;  // tasks to a placement record
 
-    bool allows_kind(Id kind) const {
-        if (any_kind) {
+    bool allows_machine_type(Id machine_type) const {
+        if (any_machine_type) {
             return true;
         }
-        for (Id k : kinds) {
-            if (k == kind) {
+        for (Id k : machine_types) {
+            if (k == machine_type) {
                 return true;
             }
         }
@@ -125,13 +127,13 @@
     // Tasks that depend on one another: a gang of one behaves like a batch.
     bool starts_together() const { return gang() && tasks > 1; }
     // Tasks of which the team's limit must admit all at once.
-    std::uint32_t needed_at_once() const { return shape == JobShape::batch ? 1 : tasks; }
+    std::uint32_t needed_at_once() const { return shape == JobShape::array ? 1 : tasks; }
     std::uint32_t zone_most() const { return spread ? (tasks + 1) / 2 : tasks; }
 };
 
-struct Kind {
+struct MachineType {
     Id id = kNone;
-    Amounts size;
+    Resources size;
     double cache_gb = 0;
     double fetch_gb_per_s = 0;
     double price = 0;
@@ -142,8 +144,8 @@
 
 struct Team {
     std::string name;
-    Amounts guarantee;  // 0: none
-    Amounts limit;      // 0: none
+    Resources guaranteed_share;  // 0: none
+    Resources quota;             // 0: none
 };
 
 // Levels of what a version can read (docs/design.md, "Two versions side by side").
--- a/src/bookkeeping/view.cpp
+++ b/src/bookkeeping/view.cpp
@@ -11,48 +11,48 @@
 }  // namespace
 
 // Changes reach a node by two ways (a watch and a reading); an old one must not undo a newer drop.
-bool View::newer(const std::string& key, std::uint64_t stamp) {
+bool StoreReplica::newer(const std::string& key, std::uint64_t version) {
     auto it = dropped_.find(key);
-    return it == dropped_.end() || it->second < stamp;
+    return it == dropped_.end() || it->second < version;
 }
 
-bool View::apply(const StateRow& row) {
+bool StoreReplica::apply(const StoreEntry& row) {
     const std::string& key = row.key;
     if (reading_ && row.value) {
         seen_.insert(key);
     }
-    if (!newer(key, row.stamp)) {
+    if (!newer(key, row.version)) {
         return false;
     }
     if (!row.value) {
-        if (dropped_.emplace(key, row.stamp).second) {
+        if (dropped_.emplace(key, row.version).second) {
             dropped_order_.push_back(key);
         } else {
-            dropped_[key] = row.stamp;
+            dropped_[key] = row.version;
         }
         while (dropped_order_.size() > 4096) {
             dropped_.erase(dropped_order_.front());
             dropped_order_.pop_front();
         }
     }
-    auto singleton = [&](std::optional<Json>& slot, std::uint64_t& stamp) {
-        if (row.stamp <= stamp) {
+    auto singleton = [&](std::optional<Json>& slot, std::uint64_t& version) {
+        if (row.version <= version) {
             return false;
         }
         slot = row.value;
-        stamp = row.value ? row.stamp : 0;
+        version = row.value ? row.version : 0;
         return true;
     };
     if (key == keys::kLeader) {
-        if (row.stamp <= leader_stamp) {
+        if (row.version <= leader_version) {
             return false;
         }
         leader = row.value ? decode_leader(*row.value) : std::nullopt;
-        leader_stamp = leader ? row.stamp : 0;
+        leader_version = leader ? row.version : 0;
         return true;
     }
-    if (key == keys::kKinds) {
-        return singleton(kinds, kinds_stamp);
+    if (key == keys::kMachineTypes) {
+        return singleton(machine_types, machine_types_version);
     }
     if (starts(key, keys::kJobs)) {
         return apply_job(row);
@@ -72,16 +72,16 @@
     if (auto part = keys::parse_registry_part(key)) {
         return apply_registry_part(row, *part);
     }
-    if (auto parsed = keys::parse_chunk(key)) {
-        return apply_chunk(row, parsed->first, parsed->second);
+    if (auto parsed = keys::parse_placement_record(key)) {
+        return apply_placement_record(row, parsed->first, parsed->second);
     }
     return false;
 }
 
-bool View::apply_job(const StateRow& row) {
+bool StoreReplica::apply_job(const StoreEntry& row) {
     std::string id = row.key.substr(keys::kJobs.size());
     auto it = jobs_.find(id);
-    if (it != jobs_.end() && row.stamp <= it->second.stamp) {
+    if (it != jobs_.end() && row.version <= it->second.version) {
         return false;
     }
     if (!row.value) {
@@ -95,15 +95,15 @@
         return false;
     }
     if (it == jobs_.end()) {
-        jobs_.emplace(id, JobView{std::move(*record), row.stamp, row.stamp});
+        jobs_.emplace(id, StoredJob{std::move(*record), row.version, row.version});
     } else {
         it->second.record = std::move(*record);
-        it->second.stamp = row.stamp;
+        it->second.version = row.version;
     }
     return true;
 }
 
-bool View::apply_ended(const StateRow& row) {
+bool StoreReplica::apply_ended(const StoreEntry& row) {
     if (!row.value) {
         return false;
     }
@@ -115,52 +115,52 @@
     return true;
 }
 
-bool View::apply_registry_part(const StateRow& row, std::uint32_t part) {
+bool StoreReplica::apply_registry_part(const StoreEntry& row, std::uint32_t part) {
     auto it = registry_parts.find(part);
-    if (it != registry_parts.end() && row.stamp <= it->second.stamp) {
+    if (it != registry_parts.end() && row.version <= it->second.version) {
         return false;
     }
     if (row.value) {
-        registry_parts[part] = {*row.value, row.stamp};
+        registry_parts[part] = {*row.value, row.version};
     } else if (it != registry_parts.end()) {
         registry_parts.erase(it);
     }
     return true;
 }
 
-bool View::apply_relay(const StateRow& row) {
-    std::string node = row.key.substr(keys::kRelays.size());
-    auto known = relays.find(node);
+bool StoreReplica::apply_relay(const StoreEntry& row) {
+    std::string controller = row.key.substr(keys::kRelays.size());
+    auto known = relays.find(controller);
     if (known != relays.end()) {
-        if (row.stamp <= known->second.stamp) {
+        if (row.version <= known->second.version) {
             return false;
         }
         count_relay_change(known->second);
         relays.erase(known);
     }
     if (row.value) {
-        Relay relay{decode_relay(*row.value), row.stamp};
+        Relay relay{decode_relay(*row.value), row.version};
         count_relay_change(relay);
-        relays[node] = std::move(relay);
+        relays[controller] = std::move(relay);
     }
     return true;
 }
 
-bool View::apply_zone_record(const StateRow& row) {
+bool StoreReplica::apply_zone_record(const StoreEntry& row) {
     std::string zone = row.key.substr(keys::kZoneRecords.size());
     auto known = zone_records.find(zone);
-    if (known != zone_records.end() && row.stamp <= known->second.stamp) {
+    if (known != zone_records.end() && row.version <= known->second.version) {
         return false;
     }
     if (row.value) {
-        zone_records[zone] = {*row.value, row.stamp};
+        zone_records[zone] = {*row.value, row.version};
     } else if (known != zone_records.end()) {
         zone_records.erase(known);
     }
     return true;
 }
 
-void View::count_relay_change(const Relay& relay) {
+void StoreReplica::count_relay_change(const Relay& relay) {
     if (relay.record) {
         ++relay_changes_[relay.record->zone];
     } else {
@@ -168,86 +168,87 @@
     }
 }
 
-bool View::relayed(const std::string& zone) const {
+bool StoreReplica::relayed(const std::string& zone) const {
     return std::any_of(relays.begin(), relays.end(), [&](const auto& entry) {
         const auto& record = entry.second.record;
         return !record || record->zone == zone;
     });
 }
 
-std::uint64_t View::relay_changes(const std::string& zone) const {
+std::uint64_t StoreReplica::relay_changes(const std::string& zone) const {
     auto it = relay_changes_.find(zone);
     return relay_changes_anywhere_ + (it == relay_changes_.end() ? 0 : it->second);
 }
 
-bool View::apply_announcement(const StateRow& row) {
+bool StoreReplica::apply_announcement(const StoreEntry& row) {
     Announcement& known = announced_levels[row.key.substr(keys::kAnnouncements.size())];
     auto level = row.value ? decode_announcement(*row.value) : std::nullopt;
-    if (row.stamp <= known.stamp || !level) {
+    if (row.version <= known.version || !level) {
         return false;
     }
-    known = {std::max(known.level, *level), row.stamp};
+    known = {std::max(known.level, *level), row.version};
     return true;
 }
 
-bool View::apply_chunk(const StateRow& row, const std::string& id, std::uint32_t index) {
-    auto& list = chunks_[id];
+bool StoreReplica::apply_placement_record(const StoreEntry& row, const std::string& id,
+                                          std::uint32_t index) {
+    auto& list = placement_records_[id];
     auto it = list.find(index);
-    if (it != list.end() && row.stamp <= it->second.stamp) {
+    if (it != list.end() && row.version <= it->second.version) {
         return false;
     }
     if (row.value) {
-        list[index] = StoredValue{*row.value, row.stamp};
+        list[index] = StoredValue{*row.value, row.version};
     } else {
         list.erase(index);
     }
     if (list.empty()) {
-        chunks_.erase(id);
+        placement_records_.erase(id);
     }
     return true;
 }
 
-void View::begin_reading() {
+void StoreReplica::begin_reading() {
     reading_ = true;
     seen_.clear();
     ++relay_changes_anywhere_;  // a reading leaves no trace of records that have come and gone
 }
 
-void View::end_reading(std::uint64_t revision) {
+void StoreReplica::end_reading(std::uint64_t revision) {
     reading_ = false;
     std::vector<std::string> gone;
     for (const auto& [id, job] : jobs_) {
-        if (job.stamp <= revision && !seen_.count(keys::job(id))) {
+        if (job.version <= revision && !seen_.count(keys::job(id))) {
             gone.push_back(keys::job(id));
         }
     }
-    for (const auto& [id, list] : chunks_) {
-        for (const auto& [index, chunk] : list) {
-            std::string key = keys::chunk(id, index);
-            if (chunk.stamp <= revision && !seen_.count(key)) {
+    for (const auto& [id, list] : placement_records_) {
+        for (const auto& [index, record] : list) {
+            std::string key = keys::placement_record(id, index);
+            if (record.version <= revision && !seen_.count(key)) {
                 gone.push_back(key);
             }
         }
     }
     for (const auto& [part, held] : registry_parts) {
         std::string key = keys::registry_part(part);
-        if (held.stamp <= revision && !seen_.count(key)) {
+        if (held.version <= revision && !seen_.count(key)) {
             gone.push_back(key);
         }
     }
-    for (const auto& [node, relay] : relays) {
-        std::string key = keys::relay(node);
-        if (relay.stamp <= revision && !seen_.count(key)) {
+    for (const auto& [controller, relay] : relays) {
+        std::string key = keys::relay(controller);
+        if (relay.version <= revision && !seen_.count(key)) {
             gone.push_back(key);
         }
     }
     for (const auto& [zone, record] : zone_records) {
         std::string key = keys::zone_record(zone);
-        if (record.stamp <= revision && !seen_.count(key)) {
+        if (record.version <= revision && !seen_.count(key)) {
             gone.push_back(key);
         }
     }
-    if (leader_stamp && leader_stamp <= revision && !seen_.count(keys::kLeader)) {
+    if (leader_version && leader_version <= revision && !seen_.count(keys::kLeader)) {
         gone.push_back(keys::kLeader);
     }
     seen_.clear();
@@ -258,10 +259,10 @@
 }
 
 // A key that a full reading did not find any more.
-void View::drop_unread(const std::string& key) {
+void StoreReplica::drop_unread(const std::string& key) {
     if (key == keys::kLeader) {
         leader.reset();
-        leader_stamp = 0;
+        leader_version = 0;
     } else if (starts(key, keys::kJobs)) {
         jobs_.erase(key.substr(keys::kJobs.size()));
     } else if (starts(key, keys::kRelays)) {
@@ -271,29 +272,30 @@
         zone_records.erase(key.substr(keys::kZoneRecords.size()));
     } else if (auto part = keys::parse_registry_part(key)) {
         registry_parts.erase(*part);
-    } else if (auto parsed = keys::parse_chunk(key)) {
-        auto it = chunks_.find(parsed->first);
-        if (it == chunks_.end()) {
+    } else if (auto parsed = keys::parse_placement_record(key)) {
+        auto it = placement_records_.find(parsed->first);
+        if (it == placement_records_.end()) {
             return;
         }
         it->second.erase(parsed->second);
         if (it->second.empty()) {
-            chunks_.erase(it);
+            placement_records_.erase(it);
         }
     }
 }
 
-const JobView* View::job(const std::string& id) const {
+const StoredJob* StoreReplica::job(const std::string& id) const {
     auto it = jobs_.find(id);
     return it == jobs_.end() ? nullptr : &it->second;
 }
 
-const std::map<std::uint32_t, StoredValue>* View::chunks(const std::string& id) const {
-    auto it = chunks_.find(id);
-    return it == chunks_.end() ? nullptr : &it->second;
+const std::map<std::uint32_t, StoredValue>* StoreReplica::placement_records(
+    const std::string& id) const {
+    auto it = placement_records_.find(id);
+    return it == placement_records_.end() ? nullptr : &it->second;
 }
 
-std::optional<EndedRecord> View::ended(const std::string& id) const {
+std::optional<EndedRecord> StoreReplica::ended(const std::string& id) const {
     auto it = ended_.find(id);
     if (it == ended_.end()) {
         return std::nullopt;
@@ -301,7 +303,7 @@
     return it->second;
 }
 
-void View::remember_ended(const std::string& id, const EndedRecord& record) {
+void StoreReplica::remember_ended(const std::string& id, const EndedRecord& record) {
     if (!ended_.emplace(id, record).second) {
         return;  // an ended job never changes again
     }
@@ -312,19 +314,19 @@
     }
 }
 
-View::Counts View::counts(const std::string& id) const {
+StoreReplica::Counts StoreReplica::counts(const std::string& id) const {
     Counts counts;
-    const auto* list = chunks(id);
+    const auto* list = placement_records(id);
     if (!list) {
         return counts;
     }
-    for (const auto& [index, chunk] : *list) {
-        if (auto d = chunk.value.find("d"); d != chunk.value.end()) {
+    for (const auto& [index, record] : *list) {
+        if (auto d = record.value.find("d"); d != record.value.end()) {
             for (std::size_t i = 0; i + 1 < d->size(); i += 2) {
                 counts.done += (*d)[i + 1].get<std::uint32_t>() - (*d)[i].get<std::uint32_t>() + 1;
             }
         }
-        if (auto m = chunk.value.find("m"); m != chunk.value.end()) {
+        if (auto m = record.value.find("m"); m != record.value.end()) {
             for (const Json& tasks : *m) {
                 counts.running += static_cast<std::uint32_t>(tasks.size() / 2);
             }
--- a/src/coordination/class_capacity.cpp
+++ b/src/coordination/class_capacity.cpp
@@ -10,75 +10,81 @@
 constexpr Ms kShapeKept = 600000;  // a class not seen for so long is not kept room for
 }
 
-void ClassCapacity::count(Ms now, const FreeCapacity& rooms) {
-    const ClusterState& cluster = term_.cluster;
-    free_slots_.assign(cluster.shapes.size(), 0);
-    aims_.assign(cluster.shapes.size(), 1e18);
-    held_sorts_.clear();
+void ClassCapacity::count(Ms now, const FreeCapacity& free_capacity) {
+    const ClusterState& cluster = context_.cluster;
+    free_slots_.assign(cluster.job_class_profiles.size(), 0);
+    start_objectives_s_.assign(cluster.job_class_profiles.size(), 1e18);
+    registered_groups_.clear();
     for (const Machine& m : cluster.machines) {
-        if (m.held && !m.gone) {
-            held_sorts_.insert({m.kind, m.zone, m.spot});
+        if (m.registered && !m.terminated) {
+            registered_groups_.insert({m.machine_type, m.zone, m.spot});
         }
     }
-    for (std::size_t i = 0; i < cluster.shapes.size(); ++i) {
-        const Shape& shape = cluster.shapes[i];
-        for (const WaitAim& aim : term_.core.platform.wait_aims) {
-            if (cluster.names.lanes.find(aim.lane) == shape.lane) {
-                aims_[i] = std::min(aims_[i], aim.within_s);
+    for (std::size_t i = 0; i < cluster.job_class_profiles.size(); ++i) {
+        const JobClassProfile& shape = cluster.job_class_profiles[i];
+        for (const StartLatencyObjective& objective :
+             context_.controller.platform_settings.start_latency_objectives) {
+            if (cluster.names.job_classes.find(objective.job_class) == shape.job_class) {
+                start_objectives_s_[i] = std::min(start_objectives_s_[i], objective.within_s);
             }
         }
         if (now > shape.seen + kShapeKept) {
             free_slots_[i] = 1e9;
             continue;
         }
-        for (const FreeCapacity::Sort& sort : rooms.sorts()) {
-            if (!FreeCapacity::allowed(shape.spec, sort)) {
+        for (const FreeCapacity::MachineGroup& machine_group : free_capacity.groups()) {
+            if (!FreeCapacity::allowed(shape.spec, machine_group)) {
                 continue;
             }
-            for (const FreeCapacity::Room& room : sort.rooms) {
+            for (const FreeCapacity::MachineCapacity& capacity : machine_group.machines) {
                 free_slots_[i] +=
-                    ClusterState::slots(shape.spec, sort.kind, sort.zone, sort.spot, room.free);
+                    ClusterState::slots(shape.spec, machine_group.machine_type, machine_group.zone,
+                                        machine_group.spot, capacity.free);
             }
         }
     }
 }
 
-double ClassCapacity::opportunity_cost(const Job& job, const FreeCapacity::Sort& sort,
-                                       const Amounts& free) const {
-    const ClusterState& cluster = term_.cluster;
+double ClassCapacity::opportunity_cost(const Job& job,
+                                       const FreeCapacity::MachineGroup& machine_group,
+                                       const Resources& free) const {
+    const ClusterState& cluster = context_.cluster;
     double sum = 0;
-    for (std::size_t i = 0; i < cluster.shapes.size(); ++i) {
-        const Shape& shape = cluster.shapes[i];
-        if (shape.lane == job.spec.lane || i >= free_slots_.size()) {
+    for (std::size_t i = 0; i < cluster.job_class_profiles.size(); ++i) {
+        const JobClassProfile& shape = cluster.job_class_profiles[i];
+        if (shape.job_class == job.spec.job_class || i >= free_slots_.size()) {
             continue;
         }
-        auto before = ClusterState::slots(shape.spec, sort.kind, sort.zone, sort.spot, free);
+        auto before = ClusterState::slots(shape.spec, machine_group.machine_type,
+                                          machine_group.zone, machine_group.spot, free);
         if (before == 0) {
             continue;
         }
-        auto after =
-            ClusterState::slots(shape.spec, sort.kind, sort.zone, sort.spot, free - job.spec.each);
+        auto after = ClusterState::slots(shape.spec, machine_group.machine_type, machine_group.zone,
+                                         machine_group.spot, free - job.spec.each);
         sum += static_cast<double>(before - after) / std::max(1.0, free_slots_[i]);
     }
     return sum;
 }
 
-bool ClassCapacity::kept(const Job& job, const FreeCapacity::Sort& sort,
-                         const Amounts& free) const {
-    const ClusterState& cluster = term_.cluster;
-    if (term_.core.policy.keep_slots == 0) {
+bool ClassCapacity::reserved_for_others(const Job& job,
+                                        const FreeCapacity::MachineGroup& machine_group,
+                                        const Resources& free) const {
+    const ClusterState& cluster = context_.cluster;
+    if (context_.controller.operator_settings.keep_slots == 0) {
         return false;
     }
-    double own = aim_of(job.spec);
+    double own = start_objective_s(job.spec);
     for (std::size_t i = 0; i < free_slots_.size(); ++i) {
-        const JobSpec& other = cluster.shapes[i].spec;
-        if (cluster.shapes[i].lane == job.spec.lane) {
+        const JobSpec& other = cluster.job_class_profiles[i].spec;
+        if (cluster.job_class_profiles[i].job_class == job.spec.job_class) {
             continue;
         }
-        double lost =
-            ClusterState::slots(other, sort.kind, sort.zone, sort.spot, free) -
-            ClusterState::slots(other, sort.kind, sort.zone, sort.spot, free - job.spec.each);
-        if (lost <= 0 || free_slots_[i] - lost >= term_.core.policy.keep_slots) {
+        double lost = ClusterState::slots(other, machine_group.machine_type, machine_group.zone,
+                                          machine_group.spot, free) -
+                      ClusterState::slots(other, machine_group.machine_type, machine_group.zone,
+                                          machine_group.spot, free - job.spec.each);
+        if (lost <= 0 || free_slots_[i] - lost >= context_.controller.operator_settings.keep_slots) {
             continue;
         }
         // Only from those who have somewhere else to go; for those with a tighter aim, or who have
@@ -86,7 +92,7 @@
         if (!elsewhere(job.spec, other)) {
             continue;
         }
-        if (aims_[i] < own || !elsewhere(other, job.spec)) {
+        if (start_objectives_s_[i] < own || !elsewhere(other, job.spec)) {
             return true;
         }
     }
@@ -94,37 +100,39 @@
 }
 
 bool ClassCapacity::elsewhere(const JobSpec& one, const JobSpec& other) const {
-    const ClusterState& cluster = term_.cluster;
-    return std::any_of(held_sorts_.begin(), held_sorts_.end(), [&](const auto& sort) {
-        const auto& [kind, zone, spot] = sort;
-        const Kind* k = cluster.kind(kind);
-        return k && ClusterState::slots(one, kind, zone, spot, k->size) > 0 &&
-               ClusterState::slots(other, kind, zone, spot, k->size) == 0;
-    });
+    const ClusterState& cluster = context_.cluster;
+    return std::any_of(
+        registered_groups_.begin(), registered_groups_.end(), [&](const auto& machine_group) {
+            const auto& [machine_type, zone, spot] = machine_group;
+            const MachineType* k = cluster.machine_type(machine_type);
+            return k && ClusterState::slots(one, machine_type, zone, spot, k->size) > 0 &&
+                   ClusterState::slots(other, machine_type, zone, spot, k->size) == 0;
+        });
 }
 
-double ClassCapacity::aim_of(const JobSpec& s) const {
-    for (std::size_t i = 0; i < aims_.size(); ++i) {
-        if (term_.cluster.shapes[i].lane == s.lane) {
-            return aims_[i];
+double ClassCapacity::start_objective_s(const JobSpec& s) const {
+    for (std::size_t i = 0; i < start_objectives_s_.size(); ++i) {
+        if (context_.cluster.job_class_profiles[i].job_class == s.job_class) {
+            return start_objectives_s_[i];
         }
     }
     return 1e18;
 }
 
 // A task was placed on the machine: what is left for the classes.
-void ClassCapacity::take(const Machine& machine, const Amounts& each) {
-    const ClusterState& cluster = term_.cluster;
-    const Kind* kind = cluster.kind(machine.kind);
-    if (!kind) {
+void ClassCapacity::take(const Machine& machine, const Resources& each) {
+    const ClusterState& cluster = context_.cluster;
+    const MachineType* machine_type = cluster.machine_type(machine.machine_type);
+    if (!machine_type) {
         return;
     }
-    Amounts free = kind->size - machine.used;
+    Resources free = machine_type->size - machine.used;
     for (std::size_t i = 0; i < free_slots_.size(); ++i) {
-        const JobSpec& s = cluster.shapes[i].spec;
-        free_slots_[i] -= ClusterState::slots(s, machine.kind, machine.zone, machine.spot, free);
+        const JobSpec& s = cluster.job_class_profiles[i].spec;
+        free_slots_[i] -=
+            ClusterState::slots(s, machine.machine_type, machine.zone, machine.spot, free);
         free_slots_[i] +=
-            ClusterState::slots(s, machine.kind, machine.zone, machine.spot, free - each);
+            ClusterState::slots(s, machine.machine_type, machine.zone, machine.spot, free - each);
     }
 }
 
--- a/src/coordination/class_capacity.hpp
+++ b/src/coordination/class_capacity.hpp
@@ -12,29 +12,31 @@
 
 class ClassCapacity {
   public:
-    explicit ClassCapacity(Term& term) : term_(term) {}
+    explicit ClassCapacity(LeaderContext& context) : context_(context) {}
 
     // Counts anew, at the beginning of a round of placing.
-    void count(Ms now, const FreeCapacity& rooms);
+    void count(Ms now, const FreeCapacity& free_capacity);
     // A task is being placed on the machine.
-    void take(const Machine& machine, const Amounts& each);
+    void take(const Machine& machine, const Resources& each);
 
     // What placing a task there takes away from classes that could use the room: slots lost, as a
     // share of all the slots such a class has left.
-    double opportunity_cost(const Job& job, const FreeCapacity::Sort& sort,
-                            const Amounts& free) const;
+    double opportunity_cost(const Job& job, const FreeCapacity::MachineGroup& machine_group,
+                            const Resources& free) const;
     // Must the machine be left to classes with a tighter aim on starting?
-    bool kept(const Job& job, const FreeCapacity::Sort& sort, const Amounts& free) const;
+    bool reserved_for_others(const Job& job, const FreeCapacity::MachineGroup& machine_group,
+                             const Resources& free) const;
     // Can this class run on a kind of machine held that the other can't use?
     bool elsewhere(const JobSpec& one, const JobSpec& other) const;
-    double aim_of(const JobSpec& spec) const;  // its class's tightest aim on starting, in seconds
+    double start_objective_s(
+        const JobSpec& spec) const;  // its class's tightest aim on starting, in seconds
 
   private:
-    Term& term_;
-    std::set<std::tuple<Id, Id, bool>> held_sorts_;  // kind, zone, spot of the machines held
+    LeaderContext& context_;
+    std::set<std::tuple<Id, Id, bool>> registered_groups_;  // kind, zone, spot of the machines held
     // By cluster.shapes: free slots in the fleet, and the tightest aim on starting.
     std::vector<double> free_slots_;
-    std::vector<double> aims_;
+    std::vector<double> start_objectives_s_;
 };
 
 }  // namespace walkford
--- a/src/coordination/core.hpp
+++ b/src/coordination/core.hpp
@@ -39,9 +39,10 @@
 class CloudClient {
   public:
     explicit CloudClient(double rps) : rate_(rps * 0.8), tokens_(rate_) {}
-    using Then = PendingCalls<CloudReply>::Then;
-    void call(CloudCall call, Then then) {
-        bool reads = call.verb == CloudVerb::list || call.verb == CloudVerb::kinds;
+    using Then = PendingCalls<CloudResponse>::Then;
+    void call(CloudRequest call, Then then) {
+        bool reads = call.operation == CloudOperation::list ||
+                     call.operation == CloudOperation::list_machine_types;
         (reads ? readings_ : queue_).push_back({std::move(call), std::move(then)});
     }
     void pump(Ms now, Outputs& out) {
@@ -56,11 +57,11 @@
             tokens_ -= 1.0;
             auto [call, then] = std::move(queue.front());
             queue.pop_front();
-            call.call = desk_.open(std::move(then));
+            call.call = pending_.open(std::move(then));
             out.emplace_back(std::move(call));
         }
     }
-    void reply(Ms now, const CloudReply& r) { desk_.reply(now, r); }
+    void reply(Ms now, const CloudResponse& r) { pending_.reply(now, r); }
     void clear() {
         queue_.clear();
         readings_.clear();
@@ -70,36 +71,36 @@
     double rate_;
     double tokens_;
     Ms refilled_ = 0;
-    std::deque<std::pair<CloudCall, Then>> queue_;
-    std::deque<std::pair<CloudCall, Then>> readings_;
-    PendingCalls<CloudReply> desk_;
+    std::deque<std::pair<CloudRequest, Then>> queue_;
+    std::deque<std::pair<CloudRequest, Then>> readings_;
+    PendingCalls<CloudResponse> pending_;
 };
 
-struct Core {
-    Core(Platform p, Policy q, std::uint64_t seed)
-        : platform(std::move(p)),
-          policy(std::move(q)),
-          view(names),
-          state(platform.state_limits, platform.next_state_limits,
-                static_cast<std::uint32_t>(platform.peers.size() + 1)),
-          cloud(platform.cloud_rps),
+struct ControllerContext {
+    ControllerContext(PlatformSettings p, OperatorSettings q, std::uint64_t seed)
+        : platform_settings(std::move(p)),
+          operator_settings(std::move(q)),
+          replica(names),
+          store(platform_settings.store_limits, platform_settings.next_store_limits,
+                static_cast<std::uint32_t>(platform_settings.peers.size() + 1)),
+          cloud(platform_settings.cloud_rps),
           rng(seed) {
-        for (const Team& t : platform.teams) {
+        for (const Team& t : platform_settings.teams) {
             names.teams.intern(t.name);
         }
-        for (const std::string& z : platform.zones) {
+        for (const std::string& z : platform_settings.zones) {
             names.zones.intern(z);
         }
     }
-    Platform platform;
-    Policy policy;
+    PlatformSettings platform_settings;
+    OperatorSettings operator_settings;
     Names names;
-    View view;
-    StateClient state;
+    StoreReplica replica;
+    StoreClient store;
     CloudClient cloud;
-    PendingCalls<WorkerReply> workers;
+    PendingCalls<WorkerResponse> workers;
     std::uint32_t cluster_level = kFeatureNone;  // the lowest of all controllers, see FeatureLevel
-    std::vector<Kind> kinds;                     // empty: not known yet
+    std::vector<MachineType> machine_types;      // empty: not known yet
     std::mt19937_64 rng;
     Outputs out;
 
@@ -107,17 +108,18 @@
     std::function<std::int64_t()> stopwatch = [] { return 0; };
 
     bool may_write(std::uint32_t feature) const {
-        return cluster_level >= feature && platform.feature_level >= feature;
+        return cluster_level >= feature && platform_settings.feature_level >= feature;
     }
     // All controllers once ran a later version than this one.
-    bool newer_than_supported() const { return cluster_level > platform.feature_level; }
+    bool newer_than_supported() const { return cluster_level > platform_settings.feature_level; }
 
     // How long after a proof of the view a report may be answered: by cancel_s after it, all leases
     // that such an answer renews are over. (A lease, drift, and what report and answer take on
     // their way.)
     Ms cancel_span() const {
         constexpr Ms kOnTheWay = 2500;
-        Ms span = to_ms(platform.cancel_s) - with_drift(to_ms(platform.lease_s)) - kOnTheWay;
+        Ms span = to_ms(platform_settings.cancel_s) - with_drift(to_ms(platform_settings.lease_s)) -
+                  kOnTheWay;
         return std::max<Ms>(0, span);
     }
 
--- a/src/coordination/feature_level.cpp
+++ b/src/coordination/feature_level.cpp
@@ -10,47 +10,49 @@
 constexpr Ms kRetry = 1000;
 }
 
-std::uint32_t FeatureLevel::announced_by(const std::string& node) const {
-    auto it = core_.view.announced_levels.find(node);
-    return it == core_.view.announced_levels.end() ? 0 : it->second.level;
+std::uint32_t FeatureLevel::announced_by(const std::string& controller) const {
+    auto it = context_.replica.announced_levels.find(controller);
+    return it == context_.replica.announced_levels.end() ? 0 : it->second.level;
 }
 
-void FeatureLevel::view_changed() {
-    std::uint32_t lowest = announced_by(core_.platform.node_name);
-    for (const Peer& peer : core_.platform.peers) {
+void FeatureLevel::replica_changed() {
+    std::uint32_t lowest = announced_by(context_.platform_settings.controller_name);
+    for (const Peer& peer : context_.platform_settings.peers) {
         lowest = std::min(lowest, announced_by(peer.name));
     }
-    if (lowest <= core_.cluster_level) {
+    if (lowest <= context_.cluster_level) {
         return;
     }
-    core_.cluster_level = lowest;
-    if (core_.newer_than_supported()) {
+    context_.cluster_level = lowest;
+    if (context_.newer_than_supported()) {
         spdlog::error(
             "all controllers have announced feature level {}, this version knows {}: "
             "not serving",
-            lowest, core_.platform.feature_level);
+            lowest, context_.platform_settings.feature_level);
     } else {
         spdlog::info("feature level {} of all controllers", lowest);
     }
 }
 
 void FeatureLevel::tick(Ms now) {
-    const std::string& node = core_.platform.node_name;
-    std::uint32_t own = core_.platform.feature_level;
-    if (writing_ || now < write_at_ || own <= announced_by(node)) {
+    const std::string& controller = context_.platform_settings.controller_name;
+    std::uint32_t own = context_.platform_settings.feature_level;
+    if (writing_ || now < write_at_ || own <= announced_by(controller)) {
         return;
     }
-    auto known = core_.view.announced_levels.find(node);
-    std::uint64_t stamp = known == core_.view.announced_levels.end() ? 0 : known->second.stamp;
-    Txn txn;
-    txn.conditions = {{keys::announcement(node), stamp}};
-    txn.writes = {{keys::announcement(node), encode_announcement(own), 0}};
+    auto known = context_.replica.announced_levels.find(controller);
+    std::uint64_t version =
+        known == context_.replica.announced_levels.end() ? 0 : known->second.version;
+    Transaction transaction;
+    transaction.comparisons = {{keys::announcement(controller), version}};
+    transaction.writes = {{keys::announcement(controller), encode_announcement(own), 0}};
     writing_ = true;
-    core_.state.txn(Urgency::leadership, std::move(txn), [this](Ms at, const StateReply&) {
-        // Whatever the answer: the view shows whether the record stands.
-        writing_ = false;
-        write_at_ = at + kRetry;
-    });
+    context_.store.transaction(RequestPriority::leadership, std::move(transaction),
+                               [this](Ms at, const StoreResponse&) {
+                                   // Whatever the answer: the view shows whether the record stands.
+                                   writing_ = false;
+                                   write_at_ = at + kRetry;
+                               });
 }
 
 }  // namespace walkford
--- a/src/coordination/feature_level.hpp
+++ b/src/coordination/feature_level.hpp
@@ -13,17 +13,17 @@
 
 class FeatureLevel {
   public:
-    explicit FeatureLevel(Core& core) : core_(core) {}
+    explicit FeatureLevel(ControllerContext& context) : context_(context) {}
 
     // Announces this controller's level where its record does not show it yet.
     void tick(Ms now);
     // Reads the cluster's level from the view into the core.
-    void view_changed();
+    void replica_changed();
 
   private:
-    std::uint32_t announced_by(const std::string& node) const;
+    std::uint32_t announced_by(const std::string& controller) const;
 
-    Core& core_;
+    ControllerContext& context_;
     bool writing_ = false;
     Ms write_at_ = 0;
 };
--- a/src/coordination/free_capacity.hpp
+++ b/src/coordination/free_capacity.hpp
@@ -12,38 +12,39 @@
 
 class FreeCapacity {
   public:
-    struct Room {
+    struct MachineCapacity {
         Id machine = kNone;
-        Amounts free;
+        Resources free;
         bool failing = false;  // something failed there lately
     };
-    struct Sort {
-        Id kind = kNone;
+    struct MachineGroup {
+        Id machine_type = kNone;
         Id zone = kNone;
         bool spot = false;
-        Amounts size;
-        Amounts most;  // of each resource, the most that any of them has free; may be too much
-        std::vector<Room> rooms;
+        Resources size;
+        Resources most;  // of each resource, the most that any of them has free; may be too much
+        std::vector<MachineCapacity> machines;
     };
 
-    void build(const ClusterState& cluster, const std::vector<Id>& usable) {
-        sorts_.clear();
+    void build(const ClusterState& cluster, const std::vector<Id>& schedulable) {
+        groups_.clear();
         where_.assign(cluster.machines.size(), {kNone, kNone});
         std::map<std::tuple<Id, Id, bool>, std::size_t> index;
-        for (Id id : usable) {
+        for (Id id : schedulable) {
             const Machine& m = cluster.machines[id];
-            const Kind* kind = cluster.kind(m.kind);
-            if (!kind) {
+            const MachineType* machine_type = cluster.machine_type(m.machine_type);
+            if (!machine_type) {
                 continue;
             }
-            auto [it, fresh] = index.try_emplace({m.kind, m.zone, m.spot}, sorts_.size());
+            auto [it, fresh] = index.try_emplace({m.machine_type, m.zone, m.spot}, groups_.size());
             if (fresh) {
-                sorts_.push_back({m.kind, m.zone, m.spot, kind->size, {}, {}});
+                groups_.push_back({m.machine_type, m.zone, m.spot, machine_type->size, {}, {}});
             }
-            Sort& sort = sorts_[it->second];
-            where_[id] = {static_cast<Id>(it->second), static_cast<Id>(sort.rooms.size())};
-            sort.rooms.push_back({id, kind->size - m.used, m.errors() > 0});
-            raise(sort.most, sort.rooms.back().free);
+            MachineGroup& machine_group = groups_[it->second];
+            where_[id] = {static_cast<Id>(it->second),
+                          static_cast<Id>(machine_group.machines.size())};
+            machine_group.machines.push_back({id, machine_type->size - m.used, m.errors() > 0});
+            raise(machine_group.most, machine_group.machines.back().free);
         }
     }
     // The machine's cluster have changed.
@@ -52,25 +53,25 @@
         if (s == kNone) {
             return;
         }
-        Sort& sort = sorts_[s];
-        Room& room = sort.rooms[r];
-        room.free = sort.size - cluster.machines[machine].used;
-        raise(sort.most, room.free);
+        MachineGroup& machine_group = groups_[s];
+        MachineCapacity& capacity = machine_group.machines[r];
+        capacity.free = machine_group.size - cluster.machines[machine].used;
+        raise(machine_group.most, capacity.free);
     }
-    const std::vector<Sort>& sorts() const { return sorts_; }
+    const std::vector<MachineGroup>& groups() const { return groups_; }
 
     // Could a task of this job be on such a machine, were it empty?
-    static bool allowed(const JobSpec& s, const Sort& sort) {
-        return s.allows_kind(sort.kind) && (s.zone == kNone || s.zone == sort.zone) &&
-               (s.spot || !sort.spot);
+    static bool allowed(const JobSpec& s, const MachineGroup& machine_group) {
+        return s.allows_machine_type(machine_group.machine_type) &&
+               (s.zone == kNone || s.zone == machine_group.zone) && (s.spot || !machine_group.spot);
     }
 
   private:
-    static void raise(Amounts& most, const Amounts& free) {
+    static void raise(Resources& most, const Resources& free) {
         most = {std::max(most.cpus, free.cpus), std::max(most.gpus, free.gpus),
                 std::max(most.ram, free.ram)};
     }
-    std::vector<Sort> sorts_;
+    std::vector<MachineGroup> groups_;
     std::vector<std::pair<Id, Id>> where_;
 };
 
--- a/src/coordination/gang_reservation.cpp
+++ b/src/coordination/gang_reservation.cpp
@@ -21,19 +21,22 @@
 }  // namespace
 
 Ms GangReservation::expected_end(TaskRef ref, Ms now) const {
-    const ClusterState& cluster = term_.cluster;
+    const ClusterState& cluster = context_.cluster;
     const JobSpec& s = cluster.jobs[ref.job].spec;
-    const Task& t = term_.cluster.task(ref);
-    if (t.halting) {
-        return now + to_ms(s.save_s + term_.core.platform.report_s);
+    const Task& t = context_.cluster.task(ref);
+    if (t.stopping) {
+        return now + to_ms(s.checkpoint_duration_s + context_.controller.platform_settings.report_s);
     }
     if (s.service()) {
         return now + kServiceEnd;
     }
     Ms run = to_ms(s.estimate_s);
     if (t.running_since < 0) {
-        const Kind* kind = cluster.kind(cluster.machines[t.machine].kind);
-        double fetch = kind && kind->fetch_gb_per_s > 0 ? s.image_gb / kind->fetch_gb_per_s : 0;
+        const MachineType* machine_type =
+            cluster.machine_type(cluster.machines[t.machine].machine_type);
+        double fetch = machine_type && machine_type->fetch_gb_per_s > 0
+                           ? s.image_gb / machine_type->fetch_gb_per_s
+                           : 0;
         return now + run + to_ms(fetch);
     }
     // Estimates are often wrong by half: one that has run longer than its own goes on for a while.
@@ -42,15 +45,16 @@
 }
 
 std::vector<std::pair<Ms, TaskRef>> GangReservation::ends(Ms now, Id job, Id machine,
-                                                          const MayStop* may_stop) const {
-    const ClusterState& cluster = term_.cluster;
+                                                          const MayPreempt* may_preempt) const {
+    const ClusterState& cluster = context_.cluster;
     std::vector<std::pair<Ms, TaskRef>> list;
     looked_ += 1 + cluster.machines[machine].tasks.size();
     for (TaskRef ref : cluster.machines[machine].tasks) {
         const Job& v = cluster.jobs[ref.job];
         Ms end = expected_end(ref, now);
-        if (may_stop && (*may_stop)(v, cluster.jobs[job])) {
-            end = std::min(end, now + to_ms(v.spec.save_s + 2 * term_.core.platform.report_s));
+        if (may_preempt && (*may_preempt)(v, cluster.jobs[job])) {
+            end = std::min(end, now + to_ms(v.spec.checkpoint_duration_s +
+                                            2 * context_.controller.platform_settings.report_s));
         }
         list.emplace_back(end, ref);
     }
@@ -59,34 +63,34 @@
 }
 
 std::optional<GangReservation::Plan> GangReservation::plan(Ms now, Id id, Id zone,
-                                                           const std::vector<Id>& usable,
-                                                           const MayStop* may_stop) const {
-    const ClusterState& cluster = term_.cluster;
+                                                           const std::vector<Id>& schedulable,
+                                                           const MayPreempt* may_preempt) const {
+    const ClusterState& cluster = context_.cluster;
     const Job& j = cluster.jobs[id];
     const JobSpec& s = j.spec;
     std::vector<Slot> all;
-    for (Id mid : usable) {
+    for (Id mid : schedulable) {
         const Machine& m = cluster.machines[mid];
-        const Kind* kind = cluster.kind(m.kind);
-        if (!kind || (zone != kNone && m.zone != zone) || j.failed_on.count(mid)) {
+        const MachineType* machine_type = cluster.machine_type(m.machine_type);
+        if (!machine_type || (zone != kNone && m.zone != zone) || j.failed_on.count(mid)) {
             continue;
         }
-        if (m.kept_for != kNone && m.kept_for != id) {
+        if (m.reserved_for != kNone && m.reserved_for != id) {
             continue;
         }
-        if (ClusterState::slots(s, m.kind, m.zone, m.spot, kind->size) == 0) {
+        if (ClusterState::slots(s, m.machine_type, m.zone, m.spot, machine_type->size) == 0) {
             continue;
         }
-        Amounts free = kind->size - m.used;
+        Resources free = machine_type->size - m.used;
         std::uint32_t had = 0;
         auto count = [&](Ms at) {
-            std::uint32_t n = ClusterState::slots(s, m.kind, m.zone, m.spot, free);
+            std::uint32_t n = ClusterState::slots(s, m.machine_type, m.zone, m.spot, free);
             for (; had < n; ++had) {
                 all.push_back({at, mid});
             }
         };
         count(now);
-        for (const auto& [end, ref] : ends(now, id, mid, may_stop)) {
+        for (const auto& [end, ref] : ends(now, id, mid, may_preempt)) {
             free += cluster.jobs[ref.job].spec.each;
             count(end);
         }
@@ -112,47 +116,47 @@
 }
 
 void GangReservation::release(Id job) {
-    for (Machine& m : term_.cluster.machines) {
-        if (m.kept_for == job) {
-            m.kept_for = kNone;
+    for (Machine& m : context_.cluster.machines) {
+        if (m.reserved_for == job) {
+            m.reserved_for = kNone;
         }
     }
 }
 
-bool GangReservation::gather(Ms now, Id id, const std::vector<Id>& usable,
-                             const MayStop& may_stop) {
-    ClusterState& cluster = term_.cluster;
+bool GangReservation::reserve(Ms now, Id id, const std::vector<Id>& schedulable,
+                              const MayPreempt& may_preempt) {
+    ClusterState& cluster = context_.cluster;
     Job& j = cluster.jobs[id];
-    if (now < j.gather_at) {
-        return j.gathering;
+    if (now < j.reserve_at) {
+        return j.reserving;
     }
-    j.gathering = false;
+    j.reserving = false;
     looked_ = 0;
     std::vector<Id> zones{kNone};
     if (j.spec.one_zone) {
         zones.clear();
-        for (Id m : usable) {
+        for (Id m : schedulable) {
             Id zone = cluster.machines[m].zone;
             if (std::find(zones.begin(), zones.end(), zone) == zones.end()) {
                 zones.push_back(zone);
             }
         }
     }
-    Id kept_zone = kNone;
-    for (Id m : usable) {
-        if (cluster.machines[m].kept_for == id) {
-            kept_zone = cluster.machines[m].zone;
+    Id reserved_zone = kNone;
+    for (Id m : schedulable) {
+        if (cluster.machines[m].reserved_for == id) {
+            reserved_zone = cluster.machines[m].zone;
         }
     }
-    auto best_of = [&](const MayStop* stop) {
+    auto best_of = [&](const MayPreempt* stop) {
         std::optional<Plan> best;
         Ms best_at = 0;
         for (Id zone : zones) {
-            auto p = plan(now, id, zone, usable, stop);
+            auto p = plan(now, id, zone, schedulable, stop);
             if (!p) {
                 continue;
             }
-            Ms at = p->ready - (zone == kept_zone ? kSameZone : 0);
+            Ms at = p->ready - (zone == reserved_zone ? kSameZone : 0);
             if (!best || at < best_at) {
                 best = std::move(p);
                 best_at = at;
@@ -162,16 +166,17 @@
     };
     std::optional<Plan> best = best_of(nullptr);
     bool stopping = false;
-    const Policy& policy = term_.core.policy;
-    if (policy.preempt && now >= j.waiting_since + to_ms(policy.preempt_after_s) &&
+    const OperatorSettings& operator_settings = context_.controller.operator_settings;
+    if (operator_settings.preempt &&
+        now >= j.waiting_since + to_ms(operator_settings.preempt_after_s) &&
         now >= stopped_at_ + kStopEvery) {
-        auto sooner = best_of(&may_stop);
+        auto sooner = best_of(&may_preempt);
         if (sooner && (!best || sooner->ready + kWorthStopping < best->ready)) {
             best = std::move(sooner);
             stopping = true;
         }
     }
-    j.gather_at = now + static_cast<Ms>(looked_ / kLooksPerMs);
+    j.reserve_at = now + static_cast<Ms>(looked_ / kLooksPerMs);
     release(id);
     if (!best) {
         spdlog::debug("{} finds no zone with {} places, full or empty", j.spec.id, j.spec.tasks);
@@ -182,19 +187,20 @@
                   static_cast<double>(best->ready - now) / 1000.0);
     for (const Slot& slot : best->slots) {
         Machine& m = cluster.machines[slot.machine];
-        m.kept_for = id;
-        m.kept_until = now + kKeepFor;
-        m.kept_ready = best->ready;
+        m.reserved_for = id;
+        m.reserved_until = now + kKeepFor;
+        m.reservation_ready_at = best->ready;
     }
-    j.gathering = true;
+    j.reserving = true;
     if (stopping) {
-        stop_victims(now, id, *best, may_stop);
+        preempt_victims(now, id, *best, may_preempt);
     }
     return true;
 }
 
-void GangReservation::stop_victims(Ms now, Id id, const Plan& plan, const MayStop& may_stop) {
-    ClusterState& cluster = term_.cluster;
+void GangReservation::preempt_victims(Ms now, Id id, const Plan& plan,
+                                      const MayPreempt& may_preempt) {
+    ClusterState& cluster = context_.cluster;
     const JobSpec& s = cluster.jobs[id].spec;
     std::map<Id, std::uint32_t> need;
     for (const Slot& slot : plan.slots) {
@@ -203,17 +209,17 @@
     int stopped = 0;
     for (const auto& [mid, places] : need) {
         const Machine& m = cluster.machines[mid];
-        Amounts free = cluster.kind(m.kind)->size - m.used;
-        for (const auto& [end, ref] : ends(now, id, mid, &may_stop)) {
-            if (ClusterState::slots(s, m.kind, m.zone, m.spot, free) >= places) {
+        Resources free = cluster.machine_type(m.machine_type)->size - m.used;
+        for (const auto& [end, ref] : ends(now, id, mid, &may_preempt)) {
+            if (ClusterState::slots(s, m.machine_type, m.zone, m.spot, free) >= places) {
                 break;
             }
             const Job& v = cluster.jobs[ref.job];
             free += v.spec.each;
-            if (cluster.task(ref).halting || !may_stop(v, cluster.jobs[id])) {
+            if (cluster.task(ref).stopping || !may_preempt(v, cluster.jobs[id])) {
                 continue;
             }
-            lifecycle_.halt(ref, v.spec.save_s + 1, now, true);
+            lifecycle_.stop(ref, v.spec.checkpoint_duration_s + 1, now, true);
             ++stopped;
         }
     }
--- a/src/coordination/gang_reservation.hpp
+++ b/src/coordination/gang_reservation.hpp
@@ -10,14 +10,15 @@
 
 class GangReservation {
   public:
-    GangReservation(Term& term, TaskLifecycle& lifecycle) : term_(term), lifecycle_(lifecycle) {}
+    GangReservation(LeaderContext& context, TaskLifecycle& lifecycle)
+        : context_(context), lifecycle_(lifecycle) {}
 
     // Says whether a task may be stopped to make room for a job.
-    using MayStop = std::function<bool(const Job& victim, const Job& job)>;
+    using MayPreempt = std::function<bool(const Job& victim, const Job& job)>;
 
     // Keeps machines for the gang and, where that is much sooner and allowed, stops tasks there.
     // False when the machines there are could never hold it.
-    bool gather(Ms now, Id job, const std::vector<Id>& usable, const MayStop& may_stop);
+    bool reserve(Ms now, Id job, const std::vector<Id>& schedulable, const MayPreempt& may_preempt);
     void release(Id job);
     // When the task should be over, by its owner's estimate.
     Ms expected_end(TaskRef ref, Ms now) const;
@@ -36,14 +37,14 @@
     };
     // The soonest way to so many places in the zone (kNone: anywhere); nothing if there are too
     // few.
-    std::optional<Plan> plan(Ms now, Id job, Id zone, const std::vector<Id>& usable,
-                             const MayStop* may_stop) const;
-    void stop_victims(Ms now, Id job, const Plan& plan, const MayStop& may_stop);
+    std::optional<Plan> plan(Ms now, Id job, Id zone, const std::vector<Id>& schedulable,
+                             const MayPreempt* may_preempt) const;
+    void preempt_victims(Ms now, Id job, const Plan& plan, const MayPreempt& may_preempt);
     // The tasks on a machine by when they are, or could be made, gone.
     std::vector<std::pair<Ms, TaskRef>> ends(Ms now, Id job, Id machine,
-                                             const MayStop* may_stop) const;
+                                             const MayPreempt* may_preempt) const;
 
-    Term& term_;
+    LeaderContext& context_;
     TaskLifecycle& lifecycle_;
     Ms stopped_at_ = -1000000;
     mutable std::size_t looked_ = 0;  // work done by a plan
--- a/src/coordination/io.hpp
+++ b/src/coordination/io.hpp
@@ -23,10 +23,10 @@
     // What can only be judged with the machine types known.
     bool zone_named = false;
     std::string zone_name;
-    bool kinds_named = false;
-    std::vector<std::string> kind_names;
+    bool machine_types_named = false;
+    std::vector<std::string> machine_type_names;
     std::string team_name;
-    std::string lane_name;
+    std::string job_class_name;
     std::string image_name;
 };
 struct PollRequest {
@@ -41,29 +41,29 @@
     RequestId request = 0;
 };
 
-struct WorkerReport {
+struct WorkerStatus {
     std::string machine;
     std::string address;
-    std::string kind;
+    std::string machine_type;
     std::string zone;
     bool spot = false;
-    std::uint64_t session = 0;
-    std::uint64_t tick = 0;
-    std::uint64_t token = 0;
+    std::uint64_t incarnation = 0;
+    std::uint64_t sequence = 0;
+    std::uint64_t fencing_token = 0;
     std::optional<double> notice_s;
     std::vector<ReportedTask> tasks;
 };
 struct HeartbeatRequest {
     RequestId request = 0;
-    WorkerReport report;
+    WorkerStatus worker_status;
 };
 
-struct StateReply {
+struct StoreResponse {
     CallId call = 0;
     int status = 0;  // 0: no answer; it may have happened, or may happen later
     std::uint64_t revision = 0;
     std::uint64_t lease = 0;
-    std::vector<StateRow> rows;
+    std::vector<StoreEntry> rows;
     bool more = false;
     std::vector<std::string> failed;
 };
@@ -71,37 +71,37 @@
 struct CloudMachine {
     std::string name;
     std::string address;
-    std::string kind;
+    std::string machine_type;
     std::string zone;
     bool spot = false;
     CloudStatus status = CloudStatus::unlisted;
     double age_s = 0;
 };
-struct CloudReply {
+struct CloudResponse {
     CallId call = 0;
     int status = 0;
-    std::vector<Kind> kinds;
+    std::vector<MachineType> machine_types;
     std::vector<std::string> names;
     std::vector<CloudMachine> machines;
     bool more = false;
 };
 
-struct WorkerReply {
+struct WorkerResponse {
     CallId call = 0;
     int status = 0;
-    std::optional<WorkerReport> report;
+    std::optional<WorkerStatus> worker_status;
 };
 
 // The small facts that controllers tell one another.
 struct PeerHeartbeat {
-    std::string node;
+    std::string controller;
     std::string incarnation;
     std::uint64_t sequence = 0;
     std::uint64_t echo = 0;            // the last sequence heard from the receiver
     std::string echo_incarnation;      // ... of that incarnation of it
-    std::uint64_t token = 0;           // the highest known
+    std::uint64_t fencing_token = 0;   // the highest known
     std::string leader;                // and whose it is
-    std::int64_t state_quiet_ms = -1;  // since the state service last answered; -1: never did
+    std::int64_t store_quiet_ms = -1;  // since the state service last answered; -1: never did
     std::uint64_t revision = 0;        // the highest that the state service ever answered it
     std::int64_t up_ms = 0;
     std::int64_t heartbeat_quiet_ms = -1;  // since a worker last reported to it; -1: none did
@@ -112,12 +112,13 @@
 };
 struct TickInput {};
 
-using Input = std::variant<TickInput, SubmitRequest, PollRequest, CancelRequest, ReadyRequest,
-                           HeartbeatRequest, StateReply, CloudReply, WorkerReply, PeerInput>;
+using Input =
+    std::variant<TickInput, SubmitRequest, PollRequest, CancelRequest, ReadyRequest,
+                 HeartbeatRequest, StoreResponse, CloudResponse, WorkerResponse, PeerInput>;
 
 // ---- outputs
 
-struct UserAnswer {
+struct UserResponse {
     RequestId request = 0;
     int code = 503;
     std::string id;
@@ -129,62 +130,62 @@
     std::string error;
 };
 
-enum class OrderVerb : std::uint8_t { run, halt, clear };
-struct Order {
-    OrderVerb verb = OrderVerb::run;
+enum class WorkerCommandType : std::uint8_t { run, stop, clear };
+struct WorkerCommand {
+    WorkerCommandType type = WorkerCommandType::run;
     std::string job;
     std::uint32_t task = 0;
     std::uint32_t attempt = 0;
     double grace_s = 0;
 };
-struct HeartbeatAnswer {
+struct HeartbeatResponse {
     RequestId request = 0;
     int code = 503;
-    std::uint64_t token = 0;
-    std::vector<Order> orders;
+    std::uint64_t fencing_token = 0;
+    std::vector<WorkerCommand> commands;
     std::string leader;  // with 421, when known
 };
 
-struct Condition {
+struct Comparison {
     std::string key;
-    std::uint64_t stamp = 0;
+    std::uint64_t version = 0;
 };
 struct Write {
     std::string key;
     std::optional<Json> value;  // nothing: drop
     std::uint64_t lease = 0;
 };
-struct Txn {
-    std::vector<Condition> conditions;
+struct Transaction {
+    std::vector<Comparison> comparisons;
     std::vector<Write> writes;
 };
-enum class StateVerb : std::uint8_t {
+enum class StoreOperation : std::uint8_t {
     get,
     list,
-    txn,
+    transaction,
     lease_grant,
-    lease_touch,
-    lease_drop,
+    lease_renew,
+    lease_revoke,
     changes
 };
-struct StateCall {
+struct StoreRequest {
     CallId call = 0;
-    StateVerb verb = StateVerb::get;
+    StoreOperation operation = StoreOperation::get;
     std::string key;  // get; or the prefix of list and changes
     std::string after_key;
     std::uint64_t after = 0;
     std::int64_t wait_ms = 0;
     std::uint64_t lease = 0;
     std::int64_t ttl_ms = 0;
-    Txn txn;
+    Transaction transaction;
 };
 
-enum class CloudVerb : std::uint8_t { kinds, hire, give_back, list };
-struct CloudCall {
+enum class CloudOperation : std::uint8_t { list_machine_types, scale_out, scale_in, list };
+struct CloudRequest {
     CallId call = 0;
-    CloudVerb verb = CloudVerb::list;
-    std::string hire;
-    std::string kind;
+    CloudOperation operation = CloudOperation::list;
+    std::string request_name;
+    std::string machine_type;
     std::string zone;
     bool spot = false;
     std::uint32_t count = 0;
@@ -192,12 +193,12 @@
     std::string after;
 };
 
-struct WorkerCall {
+struct WorkerRequest {
     CallId call = 0;
     std::string address;
-    std::uint64_t token = 0;
-    std::uint64_t session = 0;
-    std::vector<Order> orders;
+    std::uint64_t fencing_token = 0;
+    std::uint64_t incarnation = 0;
+    std::vector<WorkerCommand> commands;
 };
 
 struct PeerSend {
@@ -208,8 +209,8 @@
     Ms at = 0;
 };
 
-using Output =
-    std::variant<UserAnswer, HeartbeatAnswer, StateCall, CloudCall, WorkerCall, PeerSend, WakeAt>;
+using Output = std::variant<UserResponse, HeartbeatResponse, StoreRequest, CloudRequest,
+                            WorkerRequest, PeerSend, WakeAt>;
 using Outputs = std::vector<Output>;
 
 }  // namespace walkford
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -14,8 +14,8 @@
 constexpr double kServiceStart = 5;  // seconds within which a replica is wanted where no aim says
 }  // namespace
 
-void TaskLifecycle::lost(TaskRef ref, Ms now, const char* why, bool began) {
-    ClusterState& cluster = term_.cluster;
+void TaskLifecycle::task_lost(TaskRef ref, Ms now, const char* why, bool began) {
+    ClusterState& cluster = context_.cluster;
     Job& j = cluster.jobs[ref.job];
     Task& t = cluster.task(ref);
     if (t.machine == kNone) {
@@ -24,8 +24,8 @@
     spdlog::debug("{}/{} attempt {} off {}: {}", j.spec.id, ref.task, t.attempt,
                   cluster.machines[t.machine].name, why);
     cluster.requeue(ref, now);
-    term_.place_now = true;
-    if (!j.spec.starts_together() || j.placed == 0) {
+    context_.place_now = true;
+    if (!j.spec.starts_together() || j.assigned == 0) {
         return;
     }
     // A gang that has not begun keeps waiting, and a replacement with the same attempt completes
@@ -35,24 +35,24 @@
             j.replace_by = now + kReplaceFor;
         }
     } else {
-        halt_job(ref.job, 0, now, true);
+        stop_job(ref.job, 0, now, true);
     }
 }
 
 bool TaskLifecycle::unbegun(Id job) const {
-    const Job& j = term_.cluster.jobs[job];
-    for (const auto& chunk : j.chunks) {
-        if (!chunk) {
+    const Job& j = context_.cluster.jobs[job];
+    for (const auto& record : j.placement_records) {
+        if (!record) {
             continue;
         }
-        for (const Task& t : chunk->tasks) {
-            if (t.phase == Phase::done) {
+        for (const Task& t : record->tasks) {
+            if (t.phase == TaskPhase::done) {
                 return false;
             }
             if (t.machine == kNone) {
                 continue;
             }
-            if (t.halting || t.state == TaskState::running || t.state == TaskState::saving) {
+            if (t.stopping || t.state == TaskState::running || t.state == TaskState::saving) {
                 return false;
             }
         }
@@ -61,87 +61,88 @@
 }
 
 void TaskLifecycle::machine_emptied(Id machine, Ms now, const char* why) {
-    auto& tasks = term_.cluster.machines[machine].tasks;
+    auto& tasks = context_.cluster.machines[machine].tasks;
     while (!tasks.empty()) {
-        lost(*tasks.begin(), now, why);
+        task_lost(*tasks.begin(), now, why);
     }
 }
 
-void TaskLifecycle::halt(TaskRef ref, double grace, Ms now, bool excused) {
-    ClusterState& cluster = term_.cluster;
+void TaskLifecycle::stop(TaskRef ref, double grace, Ms now, bool failure_not_counted) {
+    ClusterState& cluster = context_.cluster;
     Job& j = cluster.jobs[ref.job];
     if (j.spec.starts_together()) {
-        halt_job(ref.job, grace, now, excused);
+        stop_job(ref.job, grace, now, failure_not_counted);
         return;
     }
     Task& t = cluster.task(ref);
     if (t.machine == kNone) {
         return;
     }
-    if (t.halting) {
-        t.halt_grace = std::min(t.halt_grace, static_cast<float>(grace));
+    if (t.stopping) {
+        t.stop_grace = std::min(t.stop_grace, static_cast<float>(grace));
         return;
     }
-    t.halting = true;
-    t.excused = excused;
-    t.halt_grace = static_cast<float>(grace);
-    t.halt_told = -1;
-    if (t.phase == Phase::placed && !t.inherited) {
-        lost(ref, now, "never started");
+    t.stopping = true;
+    t.failure_not_counted = failure_not_counted;
+    t.stop_grace = static_cast<float>(grace);
+    t.stop_sent_at = -1;
+    if (t.phase == TaskPhase::assigned && !t.inherited) {
+        task_lost(ref, now, "never started");
     }
 }
 
-void TaskLifecycle::halt_job(Id job, double grace, Ms now, bool excused) {
-    ClusterState& cluster = term_.cluster;
+void TaskLifecycle::stop_job(Id job, double grace, Ms now, bool failure_not_counted) {
+    ClusterState& cluster = context_.cluster;
     Job& j = cluster.jobs[job];
     std::vector<TaskRef> unsent;
-    for (std::uint32_t c = 0; c < j.chunks.size(); ++c) {
-        if (!j.chunks[c]) {
+    for (std::uint32_t c = 0; c < j.placement_records.size(); ++c) {
+        if (!j.placement_records[c]) {
             continue;
         }
-        for (std::uint32_t i = 0; i < j.chunks[c]->tasks.size(); ++i) {
-            Task& t = j.chunks[c]->tasks[i];
+        for (std::uint32_t i = 0; i < j.placement_records[c]->tasks.size(); ++i) {
+            Task& t = j.placement_records[c]->tasks[i];
             if (t.machine == kNone) {
                 continue;
             }
-            if (t.halting) {
-                t.halt_grace = std::min(t.halt_grace, static_cast<float>(grace));
+            if (t.stopping) {
+                t.stop_grace = std::min(t.stop_grace, static_cast<float>(grace));
                 continue;
             }
-            t.halting = true;
-            t.excused = excused;
-            t.halt_grace = static_cast<float>(grace);
-            t.halt_told = -1;
-            if (t.phase == Phase::placed && !t.inherited) {
-                unsent.push_back({job, c * j.spec.chunk + i});
+            t.stopping = true;
+            t.failure_not_counted = failure_not_counted;
+            t.stop_grace = static_cast<float>(grace);
+            t.stop_sent_at = -1;
+            if (t.phase == TaskPhase::assigned && !t.inherited) {
+                unsent.push_back({job, c * j.spec.tasks_per_record + i});
             }
         }
     }
     for (TaskRef ref : unsent) {
         cluster.requeue(ref, now);
-        term_.place_now = true;
+        context_.place_now = true;
     }
 }
 
-Leader::Leader(Core& core, std::uint64_t token, Ms now)
-    : term_(core, token, now),
-      lifecycle_(term_),
-      cloud_(term_, lifecycle_),
-      workers_(term_, lifecycle_),
-      zone_failover_(term_),
-      placer_(term_, lifecycle_, zone_failover_),
-      scaler_(term_, zone_failover_) {
-    ClusterState& cluster = term_.cluster;
-    cluster.set_kinds(core.kinds);
-    if (core.policy.place_order == "aim") {
-        cluster.start_budget = [&core](const JobSpec& s) {
+Leader::Leader(ControllerContext& controller, std::uint64_t fencing_token, Ms now)
+    : context_(controller, fencing_token, now),
+      lifecycle_(context_),
+      cloud_(context_, lifecycle_),
+      workers_(context_, lifecycle_),
+      zone_failover_(context_),
+      placer_(context_, lifecycle_, zone_failover_),
+      scaler_(context_, zone_failover_) {
+    ClusterState& cluster = context_.cluster;
+    cluster.set_machine_types(controller.machine_types);
+    if (controller.operator_settings.place_order == "aim") {
+        cluster.start_budget = [&controller](const JobSpec& s) {
             double budget = s.deadline_s >= 0 ? std::max(0.0, s.deadline_s - s.estimate_s) : 600.0;
             if (s.service()) {
                 budget = kServiceStart;
             }
-            for (const WaitAim& aim : core.platform.wait_aims) {
-                if (core.names.lanes.find(aim.lane) == s.lane) {
-                    budget = std::min(budget, aim.within_s);
+            for (const StartLatencyObjective& objective :
+                 controller.platform_settings.start_latency_objectives) {
+                if (controller.names.job_classes.find(objective.job_class) == s.job_class) {
+                    budget = std::min(budget, objective.within_s);
                 }
             }
             return to_ms(budget);
@@ -149,38 +150,39 @@
     }
     // Machines first: placements name them.
     cloud_.load(now);
-    for (const auto& [id, view] : core.view.jobs()) {
-        cluster.load_job(view, core.view.chunks(id), now);
+    for (const auto& [id, stored_job] : controller.replica.jobs()) {
+        cluster.load_job(stored_job, controller.replica.placement_records(id), now);
     }
     for (Id j = 0; j < cluster.jobs.size(); ++j) {
         if (cluster.jobs[j].cancelled) {
-            lifecycle_.halt_job(j, 0, now, true);
+            lifecycle_.stop_job(j, 0, now, true);
         }
     }
-    for (const auto& [id, list] : core.view.all_chunks()) {
-        if (core.view.job(id)) {
+    for (const auto& [id, list] : controller.replica.all_placement_records()) {
+        if (controller.replica.job(id)) {
             continue;
         }
         std::vector<std::uint32_t> left;
-        for (const auto& [index, chunk] : list) {
+        for (const auto& [index, record] : list) {
             left.push_back(index);
         }
-        drop_chunks(id, std::move(left));
+        delete_placement_records(id, std::move(left));
     }
     std::size_t placed = 0;
     for (const Machine& m : cluster.machines) {
         placed += m.tasks.size();
     }
-    spdlog::info("term {} begins: {} jobs, {} machines, {} tasks placed", token,
-                 core.view.jobs().size(), cluster.machines.size(), placed);
+    spdlog::info("term {} begins: {} jobs, {} machines, {} tasks placed", fencing_token,
+                 controller.replica.jobs().size(), cluster.machines.size(), placed);
 }
 
-Leader::~Leader() { term_.core.cloud.clear(); }
+Leader::~Leader() { context_.controller.cloud.clear(); }
 
-void Leader::set_rights(bool act, Ms answer_until, Ms proven_until) {
-    term_.act = act;
-    term_.proven_until = proven_until;
-    term_.answer_until = answer_until;
+void Leader::set_authority(bool holds_lease, Ms heartbeat_answer_deadline,
+                           Ms view_confirmed_until) {
+    context_.holds_lease = holds_lease;
+    context_.view_confirmed_until = view_confirmed_until;
+    context_.heartbeat_answer_deadline = heartbeat_answer_deadline;
 }
 
 void Leader::heartbeat(Ms now, const HeartbeatRequest& heartbeat) {
@@ -188,67 +190,67 @@
 }
 
 void Leader::job_changed(Ms now, const std::string& id) {
-    ClusterState& cluster = term_.cluster;
-    const JobView* view = term_.core.view.job(id);
+    ClusterState& cluster = context_.cluster;
+    const StoredJob* stored_job = context_.controller.replica.job(id);
     Id job = cluster.find_job(id);
-    if (!view) {
+    if (!stored_job) {
         // Only a leader's own transaction takes a job away, once all its tasks are gone or done.
-        if (job != kNone && cluster.jobs[job].placed == 0) {
+        if (job != kNone && cluster.jobs[job].assigned == 0) {
             cluster.remove_job(job);
         }
         return;
     }
     if (job == kNone) {
-        cluster.load_job(*view, term_.core.view.chunks(id), now);
-        term_.place_now = true;
+        cluster.load_job(*stored_job, context_.controller.replica.placement_records(id), now);
+        context_.place_now = true;
         return;
     }
     Job& j = cluster.jobs[job];
-    j.stamp = view->stamp;
-    if (view->record.cancelled && !j.cancelled) {
+    j.version = stored_job->version;
+    if (stored_job->record.cancelled && !j.cancelled) {
         j.cancelled = true;
-        lifecycle_.halt_job(job, 0, now, true);
-        spdlog::debug("{} cancelled, {} tasks to stop", id, j.placed);
+        lifecycle_.stop_job(job, 0, now, true);
+        spdlog::debug("{} cancelled, {} tasks to stop", id, j.assigned);
     }
 }
 
 void Leader::tick(Ms now) {
     workers_.tick(now);
     cloud_.tick(now);
-    if (now >= settle_at_) {
-        settle_at_ = now + 100;
-        settle_jobs(now);
+    if (now >= finish_at_) {
+        finish_at_ = now + 100;
+        finish_jobs(now);
     }
     zone_failover_.tick(now, workers_, cloud_);
-    if (term_.act) {
+    if (context_.holds_lease) {
         placer_.round(now, workers_);
         scaler_.tick(now, workers_, cloud_);
-        write_chunks(now);
+        write_placement_records(now);
     }
-    workers_.answer_held(now, placer_.rounds());
+    workers_.respond_deferred(now, placer_.rounds());
 }
 
 bool Leader::write_due(Ms now, Id job, std::uint32_t index) {
-    ClusterState& cluster = term_.cluster;
+    ClusterState& cluster = context_.cluster;
     const Job& j = cluster.jobs[job];
     if (!j.alive || j.ending) {
         return false;
     }
     // The final record makes this one needless.
-    if (j.done == j.spec.tasks || (j.cancelled && j.placed == 0)) {
+    if (j.done == j.spec.tasks || (j.cancelled && j.assigned == 0)) {
         return false;
     }
-    const Chunk& c = cluster.chunk(job, index);
+    const PlacementRecord& c = cluster.placement_record(job, index);
     return !c.in_flight && now >= c.retry_at;
 }
 
-std::vector<Leader::ChunkRef> Leader::chunks_due(Ms now) {
-    const auto& dirty = term_.cluster.dirty;
-    std::vector<ChunkRef> due;
+std::vector<Leader::PlacementRecordRef> Leader::records_due(Ms now) {
+    const auto& dirty = context_.cluster.dirty;
+    std::vector<PlacementRecordRef> due;
     auto full = [&] { return writes_open_ + due.size() >= kMostWritesOpen; };
-    auto take = [&](const ChunkRef& chunk) {
-        if (write_due(now, chunk.first, chunk.second)) {
-            due.push_back(chunk);
+    auto take = [&](const PlacementRecordRef& record) {
+        if (write_due(now, record.first, record.second)) {
+            due.push_back(record);
         }
     };
     if (!zone_failover_.evacuating()) {
@@ -258,9 +260,10 @@
         return due;
     }
     // The state service's write rate is the narrowest part: displaced work goes in its order.
-    std::vector<ChunkRef> ordered(dirty.begin(), dirty.end());
+    std::vector<PlacementRecordRef> ordered(dirty.begin(), dirty.end());
     std::stable_sort(ordered.begin(), ordered.end(), [this](const auto& a, const auto& b) {
-        return zone_failover_.rank(a.first) < zone_failover_.rank(b.first);
+        return zone_failover_.evacuation_position(a.first) <
+               zone_failover_.evacuation_position(b.first);
     });
     for (auto it = ordered.begin(); it != ordered.end() && !full(); ++it) {
         take(*it);
@@ -268,9 +271,9 @@
     return due;
 }
 
-void Leader::write_chunks(Ms now) {
-    ClusterState& cluster = term_.cluster;
-    std::vector<ChunkRef> due = chunks_due(now);
+void Leader::write_placement_records(Ms now) {
+    ClusterState& cluster = context_.cluster;
+    std::vector<PlacementRecordRef> due = records_due(now);
     // A placement tried and taken back leaves nothing to write.
     std::erase_if(due, [&](const auto& d) {
         if (!cluster.durable(d.first, d.second)) {
@@ -280,14 +283,14 @@
         return true;
     });
     for (auto [job, index] : due) {
-        write_chunk(now, job, index);
+        write_placement_record(now, job, index);
     }
 }
 
-void Leader::write_chunk(Ms, Id job, std::uint32_t index) {
-    ClusterState& cluster = term_.cluster;
+void Leader::write_placement_record(Ms, Id job, std::uint32_t index) {
+    ClusterState& cluster = context_.cluster;
     Job& j = cluster.jobs[job];
-    Chunk& c = cluster.chunk(job, index);
+    PlacementRecord& c = cluster.placement_record(job, index);
     std::vector<TaskRecord> records = cluster.snapshot(job, index);
     bool placement = false;
     for (const Task& t : c.tasks) {
@@ -295,29 +298,30 @@
             placement = true;
         }
     }
-    Txn txn;
-    std::string key = keys::chunk(j.spec.id, index);
-    txn.conditions = {
-        {keys::kLeader, term_.token}, {keys::job(j.spec.id), j.stamp}, {key, c.stamp}};
-    txn.writes = {{key, encode_chunk(records), 0}};
+    Transaction transaction;
+    std::string key = keys::placement_record(j.spec.id, index);
+    transaction.comparisons = {{keys::kLeader, context_.fencing_token},
+                               {keys::job(j.spec.id), j.version},
+                               {key, c.version}};
+    transaction.writes = {{key, encode_placement_record(records), 0}};
     c.in_flight = true;
-    cluster.doubt(job, index, records);
+    cluster.mark_write_started(job, index, records);
     ++writes_open_;
     cluster.dirty.erase({job, index});
-    term_.core.state.txn(
-        placement ? Urgency::placement : Urgency::progress, std::move(txn),
-        [this, alive = std::weak_ptr<bool>(term_.alive), job, index, id = j.spec.id,
-         records = std::move(records), key](Ms at, const StateReply& r) {
+    context_.controller.store.transaction(
+        placement ? RequestPriority::placement : RequestPriority::progress, std::move(transaction),
+        [this, alive = std::weak_ptr<bool>(context_.alive), job, index, id = j.spec.id,
+         records = std::move(records), key](Ms at, const StoreResponse& r) {
             if (alive.expired()) {
                 return;
             }
             --writes_open_;
-            ClusterState& b = term_.cluster;
+            ClusterState& b = context_.cluster;
             if (b.find_job(id) != job) {
                 return;  // ended meanwhile
             }
-            Chunk& chunk = b.chunk(job, index);
-            chunk.in_flight = false;
+            PlacementRecord& record = b.placement_record(job, index);
+            record.in_flight = false;
             if (r.status == 200) {
                 b.commit(job, index, records, r.revision);
                 if (b.snapshot(job, index) != records) {
@@ -326,10 +330,10 @@
                 return;
             }
             b.dirty.insert({job, index});
-            chunk.retry_at = at + kRetry;
+            record.retry_at = at + kRetry;
             if (r.status == 400) {
                 spdlog::error("the state service refuses the record {} as too large", key);
-                chunk.retry_at = at + kRetryRefused;
+                record.retry_at = at + kRetryRefused;
             }
             if (r.status == 409) {
                 spdlog::debug("write of {} found {} changed", key, fmt::join(r.failed, " "));
@@ -337,56 +341,56 @@
             if (r.status != 409) {
                 return;  // the same conditions again: at most one copy takes effect
             }
-            if (term_.deposed_by(at, r)) {
+            if (context_.deposed_by(at, r)) {
                 return;
             }
             for (const std::string& failed : r.failed) {
                 if (failed == keys::job(id)) {
-                    term_.refresh(at);
+                    context_.refresh(at);
                 }
                 if (failed != key) {
                     continue;
                 }
                 // An earlier copy of one of our writes got there: what stands there counts.
-                chunk.in_flight = true;
-                term_.core.state.get(
+                record.in_flight = true;
+                context_.controller.store.get(
                     key,
-                    [this, alive, job, index, id](Ms, const StateReply& got) {
+                    [this, alive, job, index, id](Ms, const StoreResponse& got) {
                         if (alive.expired()) {
                             return;
                         }
-                        ClusterState& bk = term_.cluster;
+                        ClusterState& bk = context_.cluster;
                         if (bk.find_job(id) != job) {
                             return;
                         }
-                        Chunk& ck = bk.chunk(job, index);
+                        PlacementRecord& ck = bk.placement_record(job, index);
                         ck.in_flight = false;
                         if (got.status == 200 && got.rows.size() == 1 && got.rows[0].value) {
                             std::vector<TaskRecord> stored(ck.tasks.size());
-                            if (decode_chunk(*got.rows[0].value, stored)) {
-                                bk.commit(job, index, stored, got.rows[0].stamp);
+                            if (decode_placement_record(*got.rows[0].value, stored)) {
+                                bk.commit(job, index, stored, got.rows[0].version);
                             }
                         } else if (got.status == 404) {
-                            ck.stamp = 0;
+                            ck.version = 0;
                         }
                     },
-                    term_.core.out);
+                    context_.controller.out);
             }
         });
 }
 
-void Leader::settle_jobs(Ms now) {
-    if (!term_.act) {
+void Leader::finish_jobs(Ms now) {
+    if (!context_.holds_lease) {
         return;
     }
-    ClusterState& cluster = term_.cluster;
+    ClusterState& cluster = context_.cluster;
     for (Id id = 0; id < cluster.jobs.size(); ++id) {
         Job& j = cluster.jobs[id];
         if (!j.alive || j.ending || now < j.retry_at) {
             continue;
         }
         if (j.cancelled) {
-            if (j.placed == 0) {
+            if (j.assigned == 0) {
                 end_job(now, id, true);
             }
         } else if (!j.spec.service() && j.done == j.spec.tasks) {
@@ -396,40 +400,44 @@
 }
 
 void Leader::end_job(Ms, Id job, bool cancelled) {
-    ClusterState& cluster = term_.cluster;
+    ClusterState& cluster = context_.cluster;
     Job& j = cluster.jobs[job];
     j.ending = true;
-    Txn txn;
-    txn.conditions = {{keys::kLeader, term_.token}, {keys::job(j.spec.id), j.stamp}};
-    txn.writes = {{keys::ended(j.spec.id), encode_ended({cancelled, j.spec.tasks}), 0},
-                  {keys::job(j.spec.id), std::nullopt, 0}};
+    Transaction transaction;
+    transaction.comparisons = {{keys::kLeader, context_.fencing_token},
+                               {keys::job(j.spec.id), j.version}};
+    transaction.writes = {{keys::ended(j.spec.id), encode_ended({cancelled, j.spec.tasks}), 0},
+                          {keys::job(j.spec.id), std::nullopt, 0}};
     std::vector<std::uint32_t> left;
-    for (std::uint32_t c = 0; c < j.chunks.size(); ++c) {
-        if (!j.chunks[c] || (j.chunks[c]->stamp == 0 && !j.chunks[c]->in_flight)) {
+    for (std::uint32_t c = 0; c < j.placement_records.size(); ++c) {
+        if (!j.placement_records[c] ||
+            (j.placement_records[c]->version == 0 && !j.placement_records[c]->in_flight)) {
             continue;
         }
-        if (txn.writes.size() < term_.core.state.limits().txn_ops()) {
-            txn.writes.push_back({keys::chunk(j.spec.id, c), std::nullopt, 0});
+        if (transaction.writes.size() <
+            context_.controller.store.limits().transaction_operations()) {
+            transaction.writes.push_back({keys::placement_record(j.spec.id, c), std::nullopt, 0});
         } else {
             left.push_back(c);
         }
     }
-    term_.core.state.txn(
-        Urgency::done, std::move(txn),
-        [this, alive = std::weak_ptr<bool>(term_.alive), job, id = j.spec.id, cancelled,
-         left = std::move(left)](Ms at, const StateReply& r) {
+    context_.controller.store.transaction(
+        RequestPriority::done, std::move(transaction),
+        [this, alive = std::weak_ptr<bool>(context_.alive), job, id = j.spec.id, cancelled,
+         left = std::move(left)](Ms at, const StoreResponse& r) {
             if (alive.expired()) {
                 return;
             }
-            ClusterState& b = term_.cluster;
+            ClusterState& b = context_.cluster;
             bool ours = b.find_job(id) == job;
             if (r.status == 200) {
                 spdlog::info("{} {}", id, cancelled ? "cancelled, all tasks gone" : "done");
-                term_.core.view.remember_ended(id, {cancelled, ours ? b.jobs[job].spec.tasks : 0});
+                context_.controller.replica.remember_ended(
+                    id, {cancelled, ours ? b.jobs[job].spec.tasks : 0});
                 if (ours) {
                     b.remove_job(job);
                 }
-                drop_chunks(id, left);
+                delete_placement_records(id, left);
                 return;
             }
             if (!ours) {
@@ -440,31 +448,33 @@
             if (r.status != 409) {
                 return;
             }
-            if (term_.deposed_by(at, r)) {
+            if (context_.deposed_by(at, r)) {
                 return;
             }
-            term_.refresh(at);  // cancelled meanwhile, or an earlier copy of this write took effect
+            context_.refresh(
+                at);  // cancelled meanwhile, or an earlier copy of this write took effect
         });
 }
 
-void Leader::drop_chunks(const std::string& id, std::vector<std::uint32_t> left) {
+void Leader::delete_placement_records(const std::string& id, std::vector<std::uint32_t> left) {
     if (left.empty()) {
         return;
     }
-    Txn txn;
-    txn.conditions = {{keys::kLeader, term_.token}, {keys::job(id), 0}};
-    while (!left.empty() && txn.writes.size() < term_.core.state.limits().txn_ops()) {
-        txn.writes.push_back({keys::chunk(id, left.back()), std::nullopt, 0});
+    Transaction transaction;
+    transaction.comparisons = {{keys::kLeader, context_.fencing_token}, {keys::job(id), 0}};
+    while (!left.empty() && transaction.writes.size() <
+                                context_.controller.store.limits().transaction_operations()) {
+        transaction.writes.push_back({keys::placement_record(id, left.back()), std::nullopt, 0});
         left.pop_back();
     }
-    term_.core.state.txn(Urgency::progress, std::move(txn),
-                         [this, alive = std::weak_ptr<bool>(term_.alive), id,
-                          left = std::move(left)](Ms, const StateReply& r) {
-                             if (alive.expired() || r.status != 200) {
-                                 return;  // the next term tidies
-                             }
-                             drop_chunks(id, left);
-                         });
+    context_.controller.store.transaction(RequestPriority::progress, std::move(transaction),
+                                          [this, alive = std::weak_ptr<bool>(context_.alive), id,
+                                           left = std::move(left)](Ms, const StoreResponse& r) {
+                                              if (alive.expired() || r.status != 200) {
+                                                  return;  // the next term tidies
+                                              }
+                                              delete_placement_records(id, left);
+                                          });
 }
 
 }  // namespace walkford
--- a/src/coordination/lease_relay.hpp
+++ b/src/coordination/lease_relay.hpp
@@ -15,7 +15,8 @@
 
 class LeaseRelay {
   public:
-    LeaseRelay(Core& core, ViewKeeper& keeper) : core_(core), keeper_(keeper) {}
+    LeaseRelay(ControllerContext& context, StoreWatcher& watcher)
+        : context_(context), watcher_(watcher) {}
 
     // `leader_silent`: somebody else leads, and has not been heard here for a while.
     void tick(Ms now, bool leader_silent);
@@ -23,24 +24,24 @@
     bool answer(Ms now, const HeartbeatRequest& heartbeat);
 
   private:
-    bool active(Ms now) const { return token_ != 0 && now < valid_until_; }
+    bool active(Ms now) const { return fencing_token_ != 0 && now < valid_until_; }
     bool wanted(Ms now, bool leader_silent) const;
     void begin(Ms now);
-    void announce(Ms sent, std::uint64_t lease, std::uint64_t token);
+    void announce(Ms sent, std::uint64_t lease, std::uint64_t fencing_token);
     void renew(Ms now);
     void end();
-    std::vector<Order> stops(const WorkerReport& report) const;
+    std::vector<WorkerCommand> stops(const WorkerStatus& worker_status) const;
 
-    Core& core_;
-    ViewKeeper& keeper_;
-    std::uint64_t token_ = 0;  // the leader's; 0: not relaying
-    std::uint64_t lease_ = 0;  // of our record
+    ControllerContext& context_;
+    StoreWatcher& watcher_;
+    std::uint64_t fencing_token_ = 0;  // the leader's; 0: not relaying
+    std::uint64_t lease_ = 0;          // of our record
     Ms valid_until_ = -1;
     bool beginning_ = false;
     bool renewing_ = false;
     Ms renew_at_ = 0;
     Ms retry_at_ = 0;
-    Ms prove_at_ = 0;
+    Ms confirm_at_ = 0;
     Ms asked_at_ = -1;  // a worker of this zone last reported here
 };
 
--- a/src/coordination/node.hpp
+++ b/src/coordination/node.hpp
@@ -11,26 +11,27 @@
 
 namespace walkford {
 
-class Node {
+class Controller {
   public:
-    Node(Platform platform, Policy policy, std::uint64_t seed);
+    Controller(PlatformSettings platform_settings, OperatorSettings operator_settings,
+               std::uint64_t seed);
     // Takes in all that came at once, most urgent first, then decides once for all of it.
     Outputs step(Ms now, const std::vector<Input>& inputs);
     Outputs step(Ms now, const Input& input) { return step(now, std::vector<Input>{input}); }
 
     void set_stopwatch(std::function<std::int64_t()> microseconds) {
-        core_.stopwatch = std::move(microseconds);
+        context_.stopwatch = std::move(microseconds);
     }
     bool leading() const { return leader_ != nullptr; }
     bool ready(Ms now) const;
-    const View& view() const { return core_.view; }
-    Names& names() { return core_.names; }
+    const StoreReplica& replica() const { return context_.replica; }
+    Names& names() { return context_.names; }
     // For checks from outside; null unless leading.
-    const ClusterState* cluster() const { return leader_ ? &leader_->term().cluster : nullptr; }
+    const ClusterState* cluster() const { return leader_ ? &leader_->context().cluster : nullptr; }
 
   private:
-    static int urgency(const Input& input);
-    void take(Ms now, const Input& input);
+    static int priority_of(const Input& input);
+    void dispatch(Ms now, const Input& input);
     void depose_if_asked(Ms now);
     void tick(Ms now);
     void heartbeat(Ms now, const HeartbeatRequest& heartbeat);
@@ -41,13 +42,13 @@
     bool alone(Ms now) const;
     bool leader_silent(Ms now) const;
     bool refused_alone(Ms now) const;
-    Ms horizon();
-    void set_rights(Ms now);
+    Ms cancellations_known_until();
+    void set_authority(Ms now);
     Ms wake_at(Ms now) const;
-    void view_changed(Ms now, const std::string& key);
+    void replica_changed(Ms now, const std::string& key);
 
-    Core core_;
-    ViewKeeper keeper_;
+    ControllerContext context_;
+    StoreWatcher watcher_;
     Leadership leadership_;
     LeaseRelay relay_;
     FeatureLevel feature_level_;
@@ -62,7 +63,7 @@
     std::uint64_t sequence_ = 0;
     bool was_ready_ = false;
     Ms unready_until_ = 0;
-    std::string deposed_why_;
+    std::string deposition_reason_;
     bool depose_now_ = false;
 };
 
--- a/src/coordination/placer.cpp
+++ b/src/coordination/placer.cpp
@@ -25,20 +25,20 @@
 // would let the lowest wait for ever while higher work keeps coming. The rest of one that has begun
 // waits by its own priority: under several times the usual load the arrays begun first took every
 // place for the rest of the day, and less than half of their class ever began.
-int Placer::risen(const Job& j, Ms since, Ms now, double rise_s) {
+int Placer::aged_priority(const Job& j, Ms since, Ms now, double priority_aging_s) {
     int own = static_cast<int>(j.spec.priority);
-    if (rise_s <= 0 || j.placed > 0 || j.done > 0) {
+    if (priority_aging_s <= 0 || j.assigned > 0 || j.done > 0) {
         return own;
     }
-    return std::clamp(own + static_cast<int>((now - since) / to_ms(rise_s)), own, 4);
+    return std::clamp(own + static_cast<int>((now - since) / to_ms(priority_aging_s)), own, 4);
 }
 
-int Placer::risen(Id job) const {
-    return risen(term_.cluster.jobs[job], zone_failover_.waits_since(job), now_,
-                 term_.core.policy.rise_s);
+int Placer::aged_priority(Id job) const {
+    return aged_priority(context_.cluster.jobs[job], zone_failover_.waits_since(job), now_,
+                         context_.controller.operator_settings.priority_aging_s);
 }
 
-std::vector<Id> Placer::waiting_order(const ClusterState& cluster, Ms now, double rise_s,
+std::vector<Id> Placer::waiting_order(const ClusterState& cluster, Ms now, double priority_aging_s,
                                       const ZoneFailoverManager& zone_failover) {
     std::vector<Id> order;
     for (Id id = 0; id < cluster.jobs.size(); ++id) {
@@ -53,9 +53,10 @@
     ranked.reserve(order.size());
     for (Id id : order) {
         const Job& j = cluster.jobs[id];
-        ranked.emplace_back(
-            -risen(j, zone_failover.waits_since(id), now, rise_s), zone_failover.rank(id),
-            cluster.within_guarantee(j.spec.team, j.spec.each) ? 0 : 1, j.start_by, j.born, id);
+        ranked.emplace_back(-aged_priority(j, zone_failover.waits_since(id), now, priority_aging_s),
+                            zone_failover.evacuation_position(id),
+                            cluster.within_guaranteed_share(j.spec.team, j.spec.each) ? 0 : 1,
+                            j.start_deadline, j.created_version, id);
     }
     std::sort(ranked.begin(), ranked.end());
     for (std::size_t i = 0; i < order.size(); ++i) {
@@ -66,114 +67,121 @@
 
 // Takes a task into the cluster state; keeps the round's own view right.
 void Placer::put(TaskRef ref, Id machine, std::uint32_t attempt, Ms now) {
-    ClusterState& cluster = term_.cluster;
+    ClusterState& cluster = context_.cluster;
     const Machine& m = cluster.machines[machine];
     const JobSpec& s = cluster.jobs[ref.job].spec;
     classes_.take(m, s.each);
-    EvacuationReserve::Place place{m.kind, m.zone, m.spot, cluster.kind(m.kind)->size - m.used};
+    EvacuationReserve::Place place{m.machine_type, m.zone, m.spot,
+                                   cluster.machine_type(m.machine_type)->size - m.used};
     bool cold = s.image != kNone && m.images.count(s.image) == 0;
-    cluster.place(ref, machine, attempt, now);
+    cluster.assign(ref, machine, attempt, now);
     zone_failover_.placed(ref.job, place, cold);
-    rooms_.update(cluster, machine);
+    free_capacity_.update(cluster, machine);
 }
 
 bool Placer::over_in_time(const JobSpec& s, const Machine& m, double fetch_s) const {
     // Estimates are often wrong by half.
-    double span = fetch_s + 1.5 * s.estimate_s + 2 * term_.core.platform.report_s;
-    return !s.starts_together() && s.estimate_s > 0 && now_ + to_ms(span) <= m.kept_ready;
+    double span = fetch_s + 1.5 * s.estimate_s + 2 * context_.controller.platform_settings.report_s;
+    return !s.starts_together() && s.estimate_s > 0 && now_ + to_ms(span) <= m.reservation_ready_at;
 }
 
-bool Placer::admits(Id id, const FreeCapacity::Sort& sort) const {
-    const Job& job = term_.cluster.jobs[id];
+bool Placer::admits(Id id, const FreeCapacity::MachineGroup& machine_group) const {
+    const Job& job = context_.cluster.jobs[id];
     const JobSpec& s = job.spec;
-    if (!FreeCapacity::allowed(s, sort) || !zone_failover_.admits(id, sort.zone)) {
+    if (!FreeCapacity::allowed(s, machine_group) ||
+        !zone_failover_.admits(id, machine_group.zone)) {
         return false;
     }
-    if (s.one_zone && !job.zones.empty() && job.zones.begin()->first != sort.zone) {
+    if (s.one_zone && !job.zones.empty() && job.zones.begin()->first != machine_group.zone) {
         return false;
     }
     if (!s.spread) {
         return true;
     }
-    auto it = job.zones.find(sort.zone);
+    auto it = job.zones.find(machine_group.zone);
     return it == job.zones.end() || it->second < s.zone_most();
 }
 
-bool Placer::held_by_failover(Id id, const FreeCapacity::Sort& sort, const FreeCapacity::Room& room,
-                              bool cold) const {
+bool Placer::blocked_by_failover(Id id, const FreeCapacity::MachineGroup& machine_group,
+                                 const FreeCapacity::MachineCapacity& capacity, bool cold) const {
     if (!zone_failover_.restricts()) {
         return false;
     }
-    int fetches = term_.cluster.images_on_their_way(term_.cluster.machines[room.machine]);
-    if (cold && !zone_failover_.admits_fetch(sort.zone, fetches)) {
+    int fetches =
+        context_.cluster.image_fetches_in_progress(context_.cluster.machines[capacity.machine]);
+    if (cold && !zone_failover_.admits_fetch(machine_group.zone, fetches)) {
         return true;
     }
-    return zone_failover_.reserved(id, risen(id), {sort.kind, sort.zone, sort.spot, room.free});
+    return zone_failover_.reserved(
+        id, aged_priority(id),
+        {machine_group.machine_type, machine_group.zone, machine_group.spot, capacity.free});
 }
 
 // The order in which machines are tried: where this job hasn't failed, where the task starts
 // soonest and other classes lose least room, spot first for those who may, then the fullest.
-std::optional<Placer::Score> Placer::score(Id job_id, const FreeCapacity::Sort& sort,
-                                           const FreeCapacity::Room& room) const {
-    const ClusterState& cluster = term_.cluster;
+std::optional<Placer::Score> Placer::score(Id job_id,
+                                           const FreeCapacity::MachineGroup& machine_group,
+                                           const FreeCapacity::MachineCapacity& capacity) const {
+    const ClusterState& cluster = context_.cluster;
     const Job& job = cluster.jobs[job_id];
     const JobSpec& s = job.spec;
-    if (!s.each.fits_in(room.free) || !admits(job_id, sort)) {
+    if (!s.each.fits_in(capacity.free) || !admits(job_id, machine_group)) {
         return std::nullopt;
     }
-    const Machine& m = cluster.machines[room.machine];
-    const Kind* kind = cluster.kind(m.kind);
+    const Machine& m = cluster.machines[capacity.machine];
+    const MachineType* machine_type = cluster.machine_type(m.machine_type);
     double fetch = 0;
     bool cold = s.image != kNone && !m.images.count(s.image);
-    if (cold && kind->fetch_gb_per_s > 0) {
+    if (cold && machine_type->fetch_gb_per_s > 0) {
         // Images fetched at the same time share the rate.
-        fetch = s.image_gb / kind->fetch_gb_per_s * (1 + term_.cluster.images_on_their_way(m));
+        fetch = s.image_gb / machine_type->fetch_gb_per_s *
+                (1 + context_.cluster.image_fetches_in_progress(m));
     }
-    if (held_by_failover(job_id, sort, room, cold)) {
+    if (blocked_by_failover(job_id, machine_group, capacity, cold)) {
         return std::nullopt;
     }
-    if (m.kept_for != job_id) {
-        if (m.kept_for != kNone && !over_in_time(s, m, fetch)) {
+    if (m.reserved_for != job_id) {
+        if (m.reserved_for != kNone && !over_in_time(s, m, fetch)) {
             return std::nullopt;
         }
         // (Not from services: a replica that may be in one zone only, as its job is spread, waited
         // for ever for the places kept there. They are few, and wanted at once.)
-        if (!s.service() && classes_.kept(job, sort, room.free)) {
+        if (!s.service() && classes_.reserved_for_others(job, machine_group, capacity.free)) {
             return std::nullopt;
         }
     }
-    double wait = fetch + term_.core.policy.opportunity_cost_s *
-                              classes_.opportunity_cost(job, sort, room.free);
-    Score least = least_score(job, sort, room);
+    double wait = fetch + context_.controller.operator_settings.opportunity_cost_s *
+                              classes_.opportunity_cost(job, machine_group, capacity.free);
+    Score least = least_score(job, machine_group, capacity);
     std::get<1>(least) = std::round(wait / 2);
     return least;
 }
 
-Placer::Score Placer::least_score(const Job& job, const FreeCapacity::Sort& sort,
-                                  const FreeCapacity::Room& room) {
-    double left = sort.size.cpus > 0 ? room.free.cpus / sort.size.cpus : 0;
-    return {room.failing || job.failed_on.count(room.machine) ? 1 : 0, 0,
-            job.spec.spot && !sort.spot ? 1 : 0, left, room.machine};
+Placer::Score Placer::least_score(const Job& job, const FreeCapacity::MachineGroup& machine_group,
+                                  const FreeCapacity::MachineCapacity& capacity) {
+    double left = machine_group.size.cpus > 0 ? capacity.free.cpus / machine_group.size.cpus : 0;
+    return {capacity.failing || job.failed_on.count(capacity.machine) ? 1 : 0, 0,
+            job.spec.spot && !machine_group.spot ? 1 : 0, left, capacity.machine};
 }
 
 Placer::Picker::Picker(const Placer& placer, Id job_id, Id zone_only)
     : placer_(placer), job_(job_id) {
-    const Job& job = placer.term_.cluster.jobs[job_id];
-    const auto& sorts = placer.rooms_.sorts();
-    for (std::uint32_t i = 0; i < sorts.size(); ++i) {
-        const FreeCapacity::Sort& sort = sorts[i];
-        if (zone_only != kNone && sort.zone != zone_only) {
+    const Job& job = placer.context_.cluster.jobs[job_id];
+    const auto& groups = placer.free_capacity_.groups();
+    for (std::uint32_t i = 0; i < groups.size(); ++i) {
+        const FreeCapacity::MachineGroup& machine_group = groups[i];
+        if (zone_only != kNone && machine_group.zone != zone_only) {
             continue;
         }
-        if (!job.spec.each.fits_in(sort.most) || !placer.admits(job_id, sort)) {
+        if (!job.spec.each.fits_in(machine_group.most) || !placer.admits(job_id, machine_group)) {
             continue;
         }
-        placer.looked_ += sort.rooms.size();
-        for (std::uint32_t r = 0; r < sort.rooms.size(); ++r) {
-            if (!job.spec.each.fits_in(sort.rooms[r].free)) {
+        placer.looked_ += machine_group.machines.size();
+        for (std::uint32_t r = 0; r < machine_group.machines.size(); ++r) {
+            if (!job.spec.each.fits_in(machine_group.machines[r].free)) {
                 continue;
             }
-            heap_.push_back({least_score(job, sort, sort.rooms[r]), i, r});
+            heap_.push_back({least_score(job, machine_group, machine_group.machines[r]), i, r});
         }
     }
     std::make_heap(heap_.begin(), heap_.end());
@@ -183,9 +191,11 @@
 // more).
 std::optional<Placer::Score> Placer::Picker::put_right() {
     const Entry& top = heap_.front();
-    const FreeCapacity::Sort& sort = placer_.rooms_.sorts()[top.sort];
+    const FreeCapacity::MachineGroup& machine_group =
+        placer_.free_capacity_.groups()[top.machine_group];
     ++placer_.looked_;
-    std::optional<Score> real = placer_.score(job_, sort, sort.rooms[top.room]);
+    std::optional<Score> real =
+        placer_.score(job_, machine_group, machine_group.machines[top.machine]);
     std::pop_heap(heap_.begin(), heap_.end());
     if (real) {
         heap_.back().score = *real;
@@ -211,12 +221,12 @@
 void Placer::Picker::placed() { put_right(); }
 
 std::uint32_t Placer::place_batch(Ms now, Id id) {
-    ClusterState& cluster = term_.cluster;
+    ClusterState& cluster = context_.cluster;
     std::uint32_t placed = 0;
     Picker picker(*this, id, kNone);
     while (placed < kMostPerJob && cluster.jobs[id].waiting() > 0) {
         Job& j = cluster.jobs[id];
-        if (!cluster.within_limit(j.spec.team, j.spec.each)) {
+        if (!cluster.within_quota(j.spec.team, j.spec.each)) {
             break;
         }
         Id machine = picker.next();
@@ -224,11 +234,11 @@
             break;
         }
         std::uint32_t index;
-        if (!j.again.empty()) {
-            index = j.again.front();
-            j.again.pop_front();
+        if (!j.retry_queue.empty()) {
+            index = j.retry_queue.front();
+            j.retry_queue.pop_front();
         } else {
-            index = j.next_fresh++;
+            index = j.next_unassigned++;
         }
         TaskRef ref{id, index};
         put(ref, machine, cluster.task(ref).attempt + 1, now);
@@ -242,7 +252,7 @@
 
 // Members lost before their gang began, with the attempt of those that wait for them.
 void Placer::replace_members(Ms now, Id id) {
-    ClusterState& cluster = term_.cluster;
+    ClusterState& cluster = context_.cluster;
     Job& j = cluster.jobs[id];
     if (j.spec.tasks <= 1 || !lifecycle_.unbegun(id)) {
         return;
@@ -259,75 +269,77 @@
         }
     }
     Picker picker(*this, id, kNone);
-    while (!j.again.empty() && cluster.within_limit(j.spec.team, j.spec.each)) {
+    while (!j.retry_queue.empty() && cluster.within_quota(j.spec.team, j.spec.each)) {
         Id machine = picker.next();
         if (machine == kNone) {
             break;
         }
-        std::uint32_t index = j.again.front();
+        std::uint32_t index = j.retry_queue.front();
         // Only this attempt's own: a member that has used a later one can't join.
         if (cluster.task({id, index}).attempt > attempt) {
             break;
         }
-        j.again.pop_front();
+        j.retry_queue.pop_front();
         put({id, index}, machine, attempt, now);
         picker.placed();
         spdlog::debug("{}/{} attempt {} replaced on {}", j.spec.id, index, attempt,
                       cluster.machines[machine].name);
     }
-    if (j.again.empty()) {
+    if (j.retry_queue.empty()) {
         j.replace_by = -1;
     } else if (now >= j.replace_by) {
         j.replace_by = -1;
-        lifecycle_.halt_job(id, 0, now, true);
+        lifecycle_.stop_job(id, 0, now, true);
     }
 }
 
 std::uint32_t Placer::places(Id id, Id zone) const {
-    const JobSpec& s = term_.cluster.jobs[id].spec;
+    const JobSpec& s = context_.cluster.jobs[id].spec;
     std::uint32_t n = 0;
-    for (const FreeCapacity::Sort& sort : rooms_.sorts()) {
-        if ((zone != kNone && sort.zone != zone) || !s.each.fits_in(sort.most)) {
+    for (const FreeCapacity::MachineGroup& machine_group : free_capacity_.groups()) {
+        if ((zone != kNone && machine_group.zone != zone) || !s.each.fits_in(machine_group.most)) {
             continue;
         }
-        if (!FreeCapacity::allowed(s, sort) || !zone_failover_.admits(id, sort.zone)) {
+        if (!FreeCapacity::allowed(s, machine_group) ||
+            !zone_failover_.admits(id, machine_group.zone)) {
             continue;
         }
-        looked_ += sort.rooms.size();
-        for (const FreeCapacity::Room& room : sort.rooms) {
+        looked_ += machine_group.machines.size();
+        for (const FreeCapacity::MachineCapacity& capacity : machine_group.machines) {
             if (n >= s.tasks) {
                 return n;
             }
-            if (!s.each.fits_in(room.free)) {
+            if (!s.each.fits_in(capacity.free)) {
                 continue;
             }
-            Id kept_for = term_.cluster.machines[room.machine].kept_for;
-            if (kept_for != kNone && kept_for != id) {
+            Id reserved_for = context_.cluster.machines[capacity.machine].reserved_for;
+            if (reserved_for != kNone && reserved_for != id) {
                 continue;
             }
-            n += ClusterState::slots(s, sort.kind, sort.zone, sort.spot, room.free);
+            n += ClusterState::slots(s, machine_group.machine_type, machine_group.zone,
+                                     machine_group.spot, capacity.free);
         }
     }
     return n;
 }
 
 bool Placer::place_gang(Ms now, Id id) {
-    ClusterState& cluster = term_.cluster;
+    ClusterState& cluster = context_.cluster;
     const JobSpec& s = cluster.jobs[id].spec;
     // A new attempt only after every task of the old one is gone.
-    if (cluster.jobs[id].placed > 0 ||
+    if (cluster.jobs[id].assigned > 0 ||
         cluster.jobs[id].waiting() < s.tasks - cluster.jobs[id].done) {
         return false;
     }
-    if (cluster.limit_room(s.team, s.each) < s.tasks) {
+    if (cluster.quota_headroom(s.team, s.each) < s.tasks) {
         return false;
     }
     std::vector<Id> zones{kNone};
     if (s.one_zone) {
         zones.clear();
-        for (const FreeCapacity::Sort& sort : rooms_.sorts()) {
-            if (std::find(zones.begin(), zones.end(), sort.zone) == zones.end()) {
-                zones.push_back(sort.zone);
+        for (const FreeCapacity::MachineGroup& machine_group : free_capacity_.groups()) {
+            if (std::find(zones.begin(), zones.end(), machine_group.zone) == zones.end()) {
+                zones.push_back(machine_group.zone);
             }
         }
     }
@@ -364,88 +376,91 @@
             placed.push_back(i);
         }
         if (placed.size() == s.tasks) {
-            cluster.jobs[id].again.clear();
-            cluster.jobs[id].next_fresh = s.tasks;
-            gatherer_.release(id);
+            cluster.jobs[id].retry_queue.clear();
+            cluster.jobs[id].next_unassigned = s.tasks;
+            reservation_.release(id);
             cluster.jobs[id].replace_by = -1;
             spdlog::debug("{} attempt {}: all {} tasks placed", s.id, attempt, s.tasks);
             return true;
         }
         for (std::uint32_t i : placed) {
             Id machine = cluster.task({id, i}).machine;
-            cluster.unseat({id, i});
-            cluster.task({id, i}).phase = Phase::idle;
+            cluster.unassign({id, i});
+            cluster.task({id, i}).phase = TaskPhase::pending;
             cluster.task({id, i}).attempt = attempt - 1;
-            rooms_.update(cluster, machine);
+            free_capacity_.update(cluster, machine);
         }
     }
     return false;
 }
 
 void Placer::round(Ms now, const WorkerManager& workers) {
-    if (!term_.place_now && now < next_) {
+    if (!context_.place_now && now < next_) {
         return;
     }
     // What many reports ask for at once is done in one round.
-    if (now < began_ + kRoundSpacing) {
+    if (now < last_round_at_ + kRoundSpacing) {
         return;
     }
-    began_ = now;
-    term_.place_now = false;
+    last_round_at_ = now;
+    context_.place_now = false;
     next_ = now + kRoundEvery;
-    ClusterState& cluster = term_.cluster;
-    if (cluster.kinds().empty()) {
+    ClusterState& cluster = context_.cluster;
+    if (cluster.machine_types().empty()) {
         return;
     }
-    std::vector<Id> usable;
+    std::vector<Id> schedulable;
     for (Id id = 0; id < cluster.machines.size(); ++id) {
         Machine& m = cluster.machines[id];
-        if (workers.usable(m, now)) {
-            usable.push_back(id);
+        if (workers.schedulable(m, now)) {
+            schedulable.push_back(id);
         }
-        if (m.kept_for != kNone && (now >= m.kept_until || !cluster.jobs[m.kept_for].alive ||
-                                    cluster.jobs[m.kept_for].waiting() == 0)) {
-            m.kept_for = kNone;
+        if (m.reserved_for != kNone &&
+            (now >= m.reserved_until || !cluster.jobs[m.reserved_for].alive ||
+             cluster.jobs[m.reserved_for].waiting() == 0)) {
+            m.reserved_for = kNone;
         }
     }
     if (cursor_ >= order_.size()) {
-        order_ = waiting_order(cluster, now, term_.core.policy.rise_s, zone_failover_);
+        order_ = waiting_order(cluster, now, context_.controller.operator_settings.priority_aging_s,
+                               zone_failover_);
         cursor_ = 0;
         blocked_.clear();
-        gathering_ = 0;
+        reserving_ = 0;
     }
     now_ = now;
-    rooms_.build(cluster, usable);
-    classes_.count(now, rooms_);
-    zone_failover_.begin_round(now, rooms_);
+    free_capacity_.build(cluster, schedulable);
+    classes_.count(now, free_capacity_);
+    zone_failover_.begin_round(now, free_capacity_);
     if (zone_failover_.restricts()) {
         // Nothing is gathered or stopped in a zone that work comes back to slowly.
-        std::erase_if(usable,
+        std::erase_if(schedulable,
                       [&](Id id) { return !zone_failover_.open(cluster.machines[id].zone); });
     }
     // The budget keeps heartbeats and leases answered in time when thousands of jobs wait.
-    auto deadline = term_.core.stopwatch() + to_ms(term_.core.policy.round_budget_ms);
+    auto deadline =
+        context_.controller.stopwatch() + to_ms(context_.controller.operator_settings.round_budget_ms);
     looked_ = 0;
     while (cursor_ < order_.size()) {
-        place_job(now, order_[cursor_++], usable);
-        bool spent = looked_ > kMostLooked || term_.core.stopwatch() >= deadline;
+        place_job(now, order_[cursor_++], schedulable);
+        bool spent = looked_ > kMostLooked || context_.controller.stopwatch() >= deadline;
         if (spent && cursor_ < order_.size()) {
-            term_.place_now = true;
+            context_.place_now = true;
             break;
         }
     }
-    term_.work.placing = looked_;
+    context_.work.placing = looked_;
     if (cursor_ >= order_.size()) {
         ++rounds_;
     }
-    if (term_.core.policy.preempt) {
-        preemption_.tick(now, order_, usable);
+    if (context_.controller.operator_settings.preempt) {
+        preemption_.tick(now, order_, schedulable);
     }
 }
 
-void Placer::place_job(Ms now, Id id, const std::vector<Id>& usable) {
-    ClusterState& cluster = term_.cluster;
-    const Policy& policy = term_.core.policy;
+void Placer::place_job(Ms now, Id id, const std::vector<Id>& schedulable) {
+    ClusterState& cluster = context_.cluster;
+    const OperatorSettings& operator_settings = context_.controller.operator_settings;
     Job& j = cluster.jobs[id];
     if (!j.alive || j.cancelled || j.ending || j.waiting() == 0) {
         return;
@@ -454,8 +469,8 @@
     // take every bit of it that frees up, and a large one would starve.
     const JobSpec& s = j.spec;
     // What it has risen to it keeps, or it would be stopped again as soon as it began.
-    j.rank = std::max(j.rank, risen(id));
-    if (s.gang() && j.placed > 0) {
+    j.aged_priority = std::max(j.aged_priority, aged_priority(id));
+    if (s.gang() && j.assigned > 0) {
         // Not kept back by who waits for the limit: that one may be waiting for what this gang
         // holds, and the two would wait for each other for ever.
         replace_members(now, id);
@@ -463,32 +478,34 @@
     }
     std::uint32_t least = s.gang() ? s.tasks : 1;
     Blocked& blocked = blocked_[s.team];
-    auto rank = static_cast<int>(s.priority);
-    if ((s.each.cpus > 0 && rank <= blocked.cpus) || (s.each.gpus > 0 && rank <= blocked.gpus)) {
+    auto own_priority = static_cast<int>(s.priority);
+    if ((s.each.cpus > 0 && own_priority <= blocked.cpus) ||
+        (s.each.gpus > 0 && own_priority <= blocked.gpus)) {
         return;
     }
-    if (cluster.limit_room(s.team, s.each) < least && zone_failover_.waits_for_zone(id)) {
+    if (cluster.quota_headroom(s.team, s.each) < least && zone_failover_.waits_for_zone(id)) {
         return;  // it could not begin anyway, and keeps nobody back
     }
-    if (cluster.limit_room(s.team, s.each) < least) {
-        bool cpus = cluster.limit_room(s.team, {s.each.cpus, 0, 0}) < least;
-        bool gpus = cluster.limit_room(s.team, {0, s.each.gpus, 0}) < least;
+    if (cluster.quota_headroom(s.team, s.each) < least) {
+        bool cpus = cluster.quota_headroom(s.team, {s.each.cpus, 0, 0}) < least;
+        bool gpus = cluster.quota_headroom(s.team, {0, s.each.gpus, 0}) < least;
         if (cpus) {
-            blocked.cpus = std::max(blocked.cpus, rank);
+            blocked.cpus = std::max(blocked.cpus, own_priority);
         }
         if (gpus) {
-            blocked.gpus = std::max(blocked.gpus, rank);
+            blocked.gpus = std::max(blocked.gpus, own_priority);
         }
         return;
     }
     if (!s.gang()) {
         place_batch(now, id);
-    } else if (!place_gang(now, id) && s.tasks > 1 && gathering_ < policy.gather &&
-               now >= j.waiting_since + to_ms(policy.gather_after_s)) {
+    } else if (!place_gang(now, id) && s.tasks > 1 &&
+               reserving_ < operator_settings.max_reserving_gangs &&
+               now >= j.waiting_since + to_ms(operator_settings.reserve_after_s)) {
         auto stop = [this, now](const Job& v, const Job& job) {
-            return preemption_.may_stop(now, v, job);
+            return preemption_.may_preempt(now, v, job);
         };
-        gathering_ += gatherer_.gather(now, id, usable, stop);
+        reserving_ += reservation_.reserve(now, id, schedulable, stop);
     }
 }
 
--- a/src/coordination/placer.hpp
+++ b/src/coordination/placer.hpp
@@ -16,13 +16,13 @@
 
 class Placer {
   public:
-    Placer(Term& term, TaskLifecycle& lifecycle, ZoneFailoverManager& zone_failover)
-        : term_(term),
+    Placer(LeaderContext& context, TaskLifecycle& lifecycle, ZoneFailoverManager& zone_failover)
+        : context_(context),
           lifecycle_(lifecycle),
           zone_failover_(zone_failover),
-          gatherer_(term, lifecycle),
-          classes_(term),
-          preemption_(term, lifecycle, classes_) {}
+          reservation_(context, lifecycle),
+          classes_(context),
+          preemption_(context, lifecycle, classes_) {}
 
     // One round, within the time budget; the next goes on where this one stopped.
     void round(Ms now, const WorkerManager& workers);
@@ -31,9 +31,10 @@
     std::uint64_t rounds() const { return rounds_; }
 
     // Its priority, raised by waiting; `since`: from when its waiting counts.
-    static int risen(const Job& j, Ms since, Ms now, double rise_s);
+    static int aged_priority(const Job& j, Ms since, Ms now, double priority_aging_s);
     // The waiting jobs in the order in which they are served.
-    static std::vector<Id> waiting_order(const ClusterState& cluster, Ms now, double rise_s,
+    static std::vector<Id> waiting_order(const ClusterState& cluster, Ms now,
+                                         double priority_aging_s,
                                          const ZoneFailoverManager& zone_failover);
 
   private:
@@ -50,8 +51,8 @@
       private:
         struct Entry {
             Score score;
-            std::uint32_t sort;
-            std::uint32_t room;
+            std::uint32_t machine_group;
+            std::uint32_t machine;
             bool operator<(const Entry& o) const { return o.score < score; }  // the least on top
         };
         std::optional<Score> put_right();
@@ -61,38 +62,38 @@
     };
 
     // `usable`: the machines that room may be gathered on.
-    void place_job(Ms now, Id job, const std::vector<Id>& usable);
+    void place_job(Ms now, Id job, const std::vector<Id>& schedulable);
     std::uint32_t place_batch(Ms now, Id job);
     void replace_members(Ms now, Id job);
     bool place_gang(Ms now, Id job);
     void put(TaskRef ref, Id machine, std::uint32_t attempt, Ms now);
     // May a task of the job go there, as the job's other tasks stand; and how good a place it is.
-    bool admits(Id job, const FreeCapacity::Sort& sort) const;
-    std::optional<Score> score(Id job, const FreeCapacity::Sort& sort,
-                               const FreeCapacity::Room& room) const;
+    bool admits(Id job, const FreeCapacity::MachineGroup& machine_group) const;
+    std::optional<Score> score(Id job, const FreeCapacity::MachineGroup& machine_group,
+                               const FreeCapacity::MachineCapacity& capacity) const;
     // How many tasks of the gang the zone (kNone: any) has room for; no further than it has tasks.
     std::uint32_t places(Id job, Id zone) const;
     // What zone failover says of it: the place is kept for others, or too many images are fetched.
-    bool held_by_failover(Id job, const FreeCapacity::Sort& sort, const FreeCapacity::Room& room,
-                          bool cold) const;
-    int risen(Id job) const;
+    bool blocked_by_failover(Id job, const FreeCapacity::MachineGroup& machine_group,
+                             const FreeCapacity::MachineCapacity& capacity, bool cold) const;
+    int aged_priority(Id job) const;
     // The best that a place can be, known without a look at the machine's tasks and images.
-    static Score least_score(const Job& job, const FreeCapacity::Sort& sort,
-                             const FreeCapacity::Room& room);
+    static Score least_score(const Job& job, const FreeCapacity::MachineGroup& machine_group,
+                             const FreeCapacity::MachineCapacity& capacity);
     // Would the task be over before the room that is gathered there is complete?
     bool over_in_time(const JobSpec& s, const Machine& m, double fetch_s) const;
 
-    Term& term_;
+    LeaderContext& context_;
     TaskLifecycle& lifecycle_;
     ZoneFailoverManager& zone_failover_;
-    GangReservation gatherer_;
+    GangReservation reservation_;
     ClassCapacity classes_;
     Preemption preemption_;
     Ms now_ = 0;
     Ms next_ = 0;
-    Ms began_ = -1000000;  // the last round
+    Ms last_round_at_ = -1000000;  // the last round
     std::uint64_t rounds_ = 0;
-    FreeCapacity rooms_;
+    FreeCapacity free_capacity_;
     mutable std::size_t looked_ = 0;  // work done by this round
     std::vector<Id> order_;
     std::size_t cursor_ = 0;
@@ -102,7 +103,7 @@
         int gpus = -1;
     };
     std::map<Id, Blocked> blocked_;
-    std::uint32_t gathering_ = 0;
+    std::uint32_t reserving_ = 0;
 };
 
 }  // namespace walkford
--- a/src/coordination/preemption.hpp
+++ b/src/coordination/preemption.hpp
@@ -8,19 +8,19 @@
 
 class Preemption {
   public:
-    Preemption(Term& term, TaskLifecycle& lifecycle, const ClassCapacity& classes)
-        : term_(term), lifecycle_(lifecycle), classes_(classes) {}
+    Preemption(LeaderContext& context, TaskLifecycle& lifecycle, const ClassCapacity& classes)
+        : context_(context), lifecycle_(lifecycle), classes_(classes) {}
 
-    void tick(Ms now, const std::vector<Id>& order, const std::vector<Id>& usable);
+    void tick(Ms now, const std::vector<Id>& order, const std::vector<Id>& schedulable);
     // May this work be stopped to make room for that job's gang?
-    bool may_stop(Ms now, const Job& victim, const Job& job) const;
+    bool may_preempt(Ms now, const Job& victim, const Job& job) const;
 
   private:
     static bool may_move(Ms now, const Job& victim, const Job& job);
-    bool stoppable(Ms now, const Job& victim, const Job& job, bool guaranteed) const;
-    bool make_room(Ms now, Id job, const std::vector<Id>& usable);
+    bool preemptible(Ms now, const Job& victim, const Job& job, bool guaranteed) const;
+    bool make_room(Ms now, Id job, const std::vector<Id>& schedulable);
 
-    Term& term_;
+    LeaderContext& context_;
     TaskLifecycle& lifecycle_;
     const ClassCapacity& classes_;
     Ms next_ = 0;
--- a/src/coordination/registry_store.cpp
+++ b/src/coordination/registry_store.cpp
@@ -16,20 +16,20 @@
 // rows of their own, each as large as the machines' rows at the most.
 constexpr std::size_t kFill = 3;
 constexpr std::size_t kMostPartBytes = 16384;
-constexpr std::size_t kMostTxnBytes = 48000;  // of the 64 KiB that a transaction may have
+constexpr std::size_t kMaxTransactionBytes = 48000;  // of the 64 KiB that a transaction may have
 // What one machine takes at the most: ten characters, and a row where its group has none.
 constexpr std::size_t kMachineBytes = 10;
 constexpr std::size_t kRowBytes = 80;
 // What the answer to a rental brings into the first value, while that one holds all machines: a
 // row, and two characters a name, as much again for the rows of marks.
 constexpr std::size_t kRentalBytes = 64;
-constexpr std::size_t kRentedBytes = 4;
+constexpr std::size_t kFirstScaleOutBytes = 4;
 }  // namespace
 
-bool RegistryStore::load() {
-    Core& core = term_.core;
-    for (const auto& [part, stored] : core.view.registry_parts) {
-        auto registry = decode_registry(stored.value, core.names);
+bool MachineRegistry::load() {
+    ControllerContext& controller = context_.controller;
+    for (const auto& [part, stored] : controller.replica.registry_parts) {
+        auto registry = decode_registry(stored.value, controller.names);
         if (!registry) {
             spdlog::error("part {} of the machine registry can't be read", part);
             parts_.clear();
@@ -38,35 +38,36 @@
             return false;
         }
         Part& mine = parts_[part];
-        mine.stamp = stored.stamp;
+        mine.version = stored.version;
         mine.bytes = stored.value.dump().size();
         if (part == 0) {
-            rentals_ = std::move(registry->rentals);
-            next_rental_ = registry->next_hire;
-            first_rented_ = registry->first_rented;
+            scale_out_requests_ = std::move(registry->scale_out_requests);
+            next_request_number_ = registry->next_request_number;
+            first_scale_out_done_ = registry->first_scale_out_done;
         }
-        for (HeldMachine& machine : registry->machines) {
+        for (RegisteredMachine& machine : registry->machines) {
             // One named twice is being moved: the later part counts.
             if (auto known = part_of_.find(machine.name); known != part_of_.end()) {
                 parts_[known->second].machines.erase(machine.name);
-                touch(known->second);
+                mark_changed(known->second);
             }
             part_of_[machine.name] = part;
             std::string name = machine.name;
             mine.machines[name] = std::move(machine);
         }
     }
-    return !core.view.registry_parts.empty();
+    return !controller.replica.registry_parts.empty();
 }
 
-const RentalRequest* RegistryStore::rental(const std::string& name) const {
-    auto it = std::find_if(rentals_.begin(), rentals_.end(),
-                           [&](const RentalRequest& rental) { return rental.name == name; });
-    return it == rentals_.end() ? nullptr : &*it;
+const ScaleOutRequest* MachineRegistry::scale_out_request(const std::string& name) const {
+    auto it = std::find_if(
+        scale_out_requests_.begin(), scale_out_requests_.end(),
+        [&](const ScaleOutRequest& scale_out_request) { return scale_out_request.name == name; });
+    return it == scale_out_requests_.end() ? nullptr : &*it;
 }
 
-std::vector<HeldMachine> RegistryStore::machines() const {
-    std::vector<HeldMachine> all;
+std::vector<RegisteredMachine> MachineRegistry::machines() const {
+    std::vector<RegisteredMachine> all;
     all.reserve(part_of_.size());
     for (const auto& [index, part] : parts_) {
         for (const auto& [name, machine] : part.machines) {
@@ -76,37 +77,37 @@
     return all;
 }
 
-void RegistryStore::touch(std::uint32_t part) {
-    ++version_;
+void MachineRegistry::mark_changed(std::uint32_t part) {
+    ++last_change_;
     Part& changed = parts_[part];
     if (changed.changed == 0) {
-        changed.changed = version_;
+        changed.changed = last_change_;
     }
 }
 
-bool RegistryStore::may_divide() const {
-    return divided() || term_.core.may_write(kFeatureServices);
+bool MachineRegistry::may_divide() const {
+    return divided() || context_.controller.may_write(kFeatureServices);
 }
 
-std::size_t RegistryStore::part_limit() const {
-    return std::min(term_.core.state.limits().value_bytes() / kFill, kMostPartBytes);
+std::size_t MachineRegistry::part_limit() const {
+    return std::min(context_.controller.store.limits().value_bytes() / kFill, kMostPartBytes);
 }
 
-bool RegistryStore::has_row_for(const Part& part, const HeldMachine& machine) {
+bool MachineRegistry::has_row_for(const Part& part, const RegisteredMachine& machine) {
     return std::any_of(part.machines.begin(), part.machines.end(), [&](const auto& entry) {
-        const HeldMachine& other = entry.second;
-        return other.kind == machine.kind && other.zone == machine.zone &&
+        const RegisteredMachine& other = entry.second;
+        return other.machine_type == machine.machine_type && other.zone == machine.zone &&
                other.spot == machine.spot;
     });
 }
 
-bool RegistryStore::has_room_for(const Part& part, const HeldMachine& machine) const {
+bool MachineRegistry::has_room_for(const Part& part, const RegisteredMachine& machine) const {
     std::size_t needed = kMachineBytes + (has_row_for(part, machine) ? 0 : kRowBytes);
     return part.machines.empty() || part.bytes + needed <= part_limit();
 }
 
 // The part that the machine goes to; one that does not exist yet where none has room.
-std::uint32_t RegistryStore::part_for(const HeldMachine& machine) {
+std::uint32_t MachineRegistry::part_for(const RegisteredMachine& machine) {
     if (!divided()) {
         return 0;
     }
@@ -131,7 +132,7 @@
     return unused;
 }
 
-void RegistryStore::add_machine(const HeldMachine& machine) {
+void MachineRegistry::add_machine(const RegisteredMachine& machine) {
     if (part_of_.count(machine.name)) {
         return;
     }
@@ -141,66 +142,66 @@
     part.bytes += kMachineBytes + (has_row_for(part, machine) ? 0 : kRowBytes);
     part.estimated = true;
     part.machines[machine.name] = machine;
-    touch(index);
+    mark_changed(index);
 }
 
-void RegistryStore::remove_machine(const std::string& name) {
+void MachineRegistry::remove_machine(const std::string& name) {
     auto known = part_of_.find(name);
     if (known == part_of_.end()) {
         return;
     }
     parts_[known->second].machines.erase(name);
-    touch(known->second);
+    mark_changed(known->second);
     part_of_.erase(known);
 }
 
-void RegistryStore::mark_returning(const std::string& name) {
+void MachineRegistry::mark_releasing(const std::string& name) {
     auto known = part_of_.find(name);
     if (known == part_of_.end()) {
         return;
     }
-    parts_[known->second].machines[name].returning = true;
-    touch(known->second);
+    parts_[known->second].machines[name].releasing = true;
+    mark_changed(known->second);
 }
 
 // Under lower limits to come, a value that is too large is divided before they are in force; a
 // division that an earlier leader began is completed.
-bool RegistryStore::must_divide() const {
+bool MachineRegistry::must_divide() const {
     const Part& first = parts_.at(0);
     if (first.machines.empty() || !may_divide()) {
         return false;
     }
-    std::size_t limit = term_.core.state.limits().value_bytes();
+    std::size_t limit = context_.controller.store.limits().value_bytes();
     return divided() || (first.bytes > limit && encode(0).dump().size() > limit);
 }
 
 // Moves every machine out of the first value.
-void RegistryStore::divide() {
-    std::map<std::string, HeldMachine> all = std::move(parts_[0].machines);
+void MachineRegistry::divide() {
+    std::map<std::string, RegisteredMachine> all = std::move(parts_[0].machines);
     parts_[0].machines.clear();
     parts_[1];
     for (const auto& [name, machine] : all) {
         part_of_.erase(name);
         add_machine(machine);
     }
-    touch(0);
+    mark_changed(0);
     spdlog::info("the machine registry goes into {} parts: {} machines", parts_.size(),
                  part_of_.size());
 }
 
-std::size_t RegistryStore::first_value_bytes() const {
+std::size_t MachineRegistry::first_value_bytes() const {
     std::size_t bytes = encode(0).dump().size();
     if (!divided()) {
-        for (const RentalRequest& open : rentals_) {
-            bytes += kRentalBytes + kRentedBytes * open.count;
+        for (const ScaleOutRequest& open : scale_out_requests_) {
+            bytes += kRentalBytes + kFirstScaleOutBytes * open.count;
         }
     }
     return bytes;
 }
 
-bool RegistryStore::add_rental(const RentalRequest& rental) {
-    rentals_.push_back(rental);
-    const StateLimitsInForce& limits = term_.core.state.limits();
+bool MachineRegistry::add_scale_out_request(const ScaleOutRequest& scale_out_request) {
+    scale_out_requests_.push_back(scale_out_request);
+    const EffectiveStoreLimits& limits = context_.controller.store.limits();
     std::size_t limit = may_divide() ? limits.value_bytes() : limits.current_value_bytes();
     std::size_t bytes = first_value_bytes();
     if (bytes > limit && may_divide() && !divided()) {
@@ -208,49 +209,52 @@
         bytes = first_value_bytes();
     }
     if (bytes > limit) {
-        rentals_.pop_back();
-        spdlog::error("the machine registry is full: {} machines are not rented", rental.count);
+        scale_out_requests_.pop_back();
+        spdlog::error("the machine registry is full: {} machines are not rented",
+                      scale_out_request.count);
         return false;
     }
-    ++next_rental_;
-    touch(0);
+    ++next_request_number_;
+    mark_changed(0);
     return true;
 }
 
-void RegistryStore::remove_rental(const std::string& name) {
-    std::erase_if(rentals_, [&](const RentalRequest& rental) { return rental.name == name; });
-    touch(0);
+void MachineRegistry::remove_scale_out_request(const std::string& name) {
+    std::erase_if(scale_out_requests_, [&](const ScaleOutRequest& scale_out_request) {
+        return scale_out_request.name == name;
+    });
+    mark_changed(0);
 }
 
-void RegistryStore::set_first_rented() {
-    if (first_rented_) {
+void MachineRegistry::set_first_scale_out_done() {
+    if (first_scale_out_done_) {
         return;
     }
-    first_rented_ = true;
-    touch(0);
+    first_scale_out_done_ = true;
+    mark_changed(0);
 }
 
-Json RegistryStore::encode(std::uint32_t index) const {
-    Registry registry;
+Json MachineRegistry::encode(std::uint32_t index) const {
+    RegistryRecord registry;
     for (const auto& [name, machine] : parts_.at(index).machines) {
         registry.machines.push_back(machine);
     }
     if (index == 0) {
-        registry.next_hire = next_rental_;
-        registry.first_rented = first_rented_;
-        registry.rentals = rentals_;
+        registry.next_request_number = next_request_number_;
+        registry.first_scale_out_done = first_scale_out_done_;
+        registry.scale_out_requests = scale_out_requests_;
     }
-    return encode_registry(registry, term_.core.names);
+    return encode_registry(registry, context_.controller.names);
 }
 
-void RegistryStore::after_write(std::function<void(Ms)> then) {
-    waiting_.push_back({version_, std::move(then)});
+void MachineRegistry::after_write(std::function<void(Ms)> then) {
+    waiting_.push_back({last_change_, std::move(then)});
 }
 
-RegistryStore::Version RegistryStore::durable() const {
-    Version oldest = version_ + 1;
+MachineRegistry::ChangeNumber MachineRegistry::durable() const {
+    ChangeNumber oldest = last_change_ + 1;
     for (const auto& [index, part] : parts_) {
-        for (Version open : {part.changed, part.in_flight}) {
+        for (ChangeNumber open : {part.changed, part.in_flight}) {
             if (open != 0) {
                 oldest = std::min(oldest, open);
             }
@@ -260,7 +264,7 @@
 }
 
 // Parts before the first value: it is the one that ceases to name machines and rental requests.
-void RegistryStore::write(Ms now) {
+void MachineRegistry::write(Ms now) {
     if (writing_ || now < write_at_) {
         return;
     }
@@ -280,13 +284,14 @@
         tell_waiting(now);
         return;
     }
-    due.resize(std::min<std::size_t>(due.size(), term_.core.state.limits().txn_ops()));
+    due.resize(
+        std::min<std::size_t>(due.size(), context_.controller.store.limits().transaction_operations()));
     send(due);
 }
 
-void RegistryStore::send(const std::vector<std::uint32_t>& due) {
-    Txn txn;
-    txn.conditions = {{keys::kLeader, term_.token}};
+void MachineRegistry::send(const std::vector<std::uint32_t>& due) {
+    Transaction transaction;
+    transaction.comparisons = {{keys::kLeader, context_.fencing_token}};
     std::vector<std::uint32_t> sent;
     std::size_t bytes = 0;
     for (std::uint32_t index : due) {
@@ -295,13 +300,13 @@
         part.bytes = value.dump().size();
         part.estimated = false;
         bytes += part.bytes;
-        if (bytes > kMostTxnBytes && !sent.empty()) {
+        if (bytes > kMaxTransactionBytes && !sent.empty()) {
             break;
         }
         bool empty = index != 0 && part.machines.empty();
         std::string key = keys::registry_part(index);
-        txn.conditions.push_back({key, part.stamp});
-        txn.writes.push_back(
+        transaction.comparisons.push_back({key, part.version});
+        transaction.writes.push_back(
             {key, empty ? std::nullopt : std::optional<Json>(std::move(value)), 0});
         part.in_flight = part.changed;
         part.changed = 0;
@@ -309,22 +314,22 @@
         sent.push_back(index);
     }
     writing_ = true;
-    term_.core.state.txn(
-        Urgency::placement, std::move(txn),
-        [this, alive = std::weak_ptr<bool>(term_.alive), sent](Ms at, const StateReply& reply) {
-            if (!alive.expired()) {
-                written(at, sent, reply);
-            }
-        });
+    context_.controller.store.transaction(RequestPriority::placement, std::move(transaction),
+                                    [this, alive = std::weak_ptr<bool>(context_.alive), sent](
+                                        Ms at, const StoreResponse& reply) {
+                                        if (!alive.expired()) {
+                                            written(at, sent, reply);
+                                        }
+                                    });
 }
 
-void RegistryStore::written(Ms now, const std::vector<std::uint32_t>& sent,
-                            const StateReply& reply) {
+void MachineRegistry::written(Ms now, const std::vector<std::uint32_t>& sent,
+                              const StoreResponse& reply) {
     writing_ = false;
     for (std::uint32_t index : sent) {
         Part& part = parts_[index];
         if (reply.status == 200) {
-            part.stamp = part.dropping ? 0 : reply.revision;
+            part.version = part.dropping ? 0 : reply.revision;
         } else {
             part.changed = part.in_flight;
         }
@@ -342,43 +347,44 @@
     if (reply.status != 409) {
         return;
     }
-    if (term_.deposed_by(now, reply)) {
+    if (context_.deposed_by(now, reply)) {
         return;
     }
     // An earlier copy of our own write got there; ours is written over it.
-    read_stamps(reply.failed);
+    read_versions(reply.failed);
 }
 
-void RegistryStore::read_stamps(std::vector<std::string> failed) {
+void MachineRegistry::read_versions(std::vector<std::string> failed) {
     if (failed.empty()) {
         return;
     }
     writing_ = true;
     std::string key = failed.back();
     failed.pop_back();
-    term_.core.state.get(
+    context_.controller.store.get(
         key,
-        [this, alive = std::weak_ptr<bool>(term_.alive), key, failed](Ms, const StateReply& got) {
+        [this, alive = std::weak_ptr<bool>(context_.alive), key, failed](Ms,
+                                                                         const StoreResponse& got) {
             if (alive.expired()) {
                 return;
             }
             writing_ = false;
             auto index = keys::parse_registry_part(key);
             if (index && got.status == 200 && got.rows.size() == 1) {
-                parts_[*index].stamp = got.rows[0].stamp;
+                parts_[*index].version = got.rows[0].version;
             } else if (index && got.status == 404) {
-                parts_[*index].stamp = 0;
+                parts_[*index].version = 0;
             }
-            read_stamps(failed);
+            read_versions(failed);
         },
-        term_.core.out);
+        context_.controller.out);
 }
 
-void RegistryStore::tell_waiting(Ms now) {
-    Version settled = durable();
+void MachineRegistry::tell_waiting(Ms now) {
+    ChangeNumber settled = durable();
     std::vector<Waiting> ready;
     for (auto it = waiting_.begin(); it != waiting_.end();) {
-        if (it->version <= settled) {
+        if (it->change <= settled) {
             ready.push_back(std::move(*it));
             it = waiting_.erase(it);
         } else {
--- a/src/coordination/registry_store.hpp
+++ b/src/coordination/registry_store.hpp
@@ -14,75 +14,75 @@
 
 namespace walkford {
 
-class RegistryStore {
+class MachineRegistry {
   public:
-    explicit RegistryStore(Term& term) : term_(term) { parts_[0]; }
+    explicit MachineRegistry(LeaderContext& context) : context_(context) { parts_[0]; }
 
     // Takes in what an earlier leader wrote; false if there is nothing, or it can't be read.
     bool load();
     // There is nothing yet: the first value is written, also where it names no machine.
-    void create() { touch(0); }
+    void create() { mark_changed(0); }
 
-    const std::vector<RentalRequest>& rentals() const { return rentals_; }
-    const RentalRequest* rental(const std::string& name) const;
-    std::uint64_t next_rental() const { return next_rental_; }
-    bool first_rented() const { return first_rented_; }
+    const std::vector<ScaleOutRequest>& scale_out_requests() const { return scale_out_requests_; }
+    const ScaleOutRequest* scale_out_request(const std::string& name) const;
+    std::uint64_t next_request_number() const { return next_request_number_; }
+    bool first_scale_out_done() const { return first_scale_out_done_; }
     std::size_t size() const { return part_of_.size(); }
-    std::vector<HeldMachine> machines() const;
+    std::vector<RegisteredMachine> machines() const;
     std::size_t parts() const { return parts_.size(); }
 
     // False where what the state service holds in a value has no room for it.
-    bool add_rental(const RentalRequest& rental);
-    void remove_rental(const std::string& name);
-    void set_first_rented();
-    void add_machine(const HeldMachine& machine);
+    bool add_scale_out_request(const ScaleOutRequest& scale_out_request);
+    void remove_scale_out_request(const std::string& name);
+    void set_first_scale_out_done();
+    void add_machine(const RegisteredMachine& machine);
     void remove_machine(const std::string& name);
-    void mark_returning(const std::string& name);
+    void mark_releasing(const std::string& name);
 
     // Calls once all that has changed so far is durable.
     void after_write(std::function<void(Ms)> then);
     void write(Ms now);
 
   private:
-    using Version = std::uint64_t;
+    using ChangeNumber = std::uint64_t;
     struct Part {
-        std::map<std::string, HeldMachine> machines;
-        std::uint64_t stamp = 0;
-        std::size_t bytes = 0;   // as last encoded, and what was added since
-        bool estimated = false;  // ... so that it may be less
-        Version changed = 0;     // the first change that is not sent yet; 0: none
-        Version in_flight = 0;   // ... that is sent, but not answered
-        bool dropping = false;   // what is in flight takes its key away
+        std::map<std::string, RegisteredMachine> machines;
+        std::uint64_t version = 0;
+        std::size_t bytes = 0;       // as last encoded, and what was added since
+        bool estimated = false;      // ... so that it may be less
+        ChangeNumber changed = 0;    // the first change that is not sent yet; 0: none
+        ChangeNumber in_flight = 0;  // ... that is sent, but not answered
+        bool dropping = false;       // what is in flight takes its key away
     };
     struct Waiting {
-        Version version = 0;
+        ChangeNumber change = 0;
         std::function<void(Ms)> then;
     };
 
-    void touch(std::uint32_t part);
+    void mark_changed(std::uint32_t part);
     bool divided() const { return parts_.size() > 1; }
     bool may_divide() const;
     bool must_divide() const;
     void divide();
     std::size_t part_limit() const;
-    static bool has_row_for(const Part& part, const HeldMachine& machine);
-    bool has_room_for(const Part& part, const HeldMachine& machine) const;
-    std::uint32_t part_for(const HeldMachine& machine);
+    static bool has_row_for(const Part& part, const RegisteredMachine& machine);
+    bool has_room_for(const Part& part, const RegisteredMachine& machine) const;
+    std::uint32_t part_for(const RegisteredMachine& machine);
     Json encode(std::uint32_t part) const;
     std::size_t first_value_bytes() const;
-    Version durable() const;
+    ChangeNumber durable() const;
     void send(const std::vector<std::uint32_t>& parts);
-    void written(Ms now, const std::vector<std::uint32_t>& parts, const StateReply& reply);
-    void read_stamps(std::vector<std::string> keys);
+    void written(Ms now, const std::vector<std::uint32_t>& parts, const StoreResponse& reply);
+    void read_versions(std::vector<std::string> keys);
     void tell_waiting(Ms now);
 
-    Term& term_;
+    LeaderContext& context_;
     std::map<std::uint32_t, Part> parts_;                     // part 0 is always there
     std::unordered_map<std::string, std::uint32_t> part_of_;  // by machine
-    std::vector<RentalRequest> rentals_;
-    std::uint64_t next_rental_ = 1;
-    bool first_rented_ = false;
-    Version version_ = 0;
+    std::vector<ScaleOutRequest> scale_out_requests_;
+    std::uint64_t next_request_number_ = 1;
+    bool first_scale_out_done_ = false;
+    ChangeNumber last_change_ = 0;
     bool writing_ = false;
     Ms write_at_ = 0;
     std::vector<Waiting> waiting_;
