--- a/src/coordination/scaler.cpp
+++ b/src/coordination/scaler.cpp
@@ -15,81 +15,85 @@
 constexpr std::uint32_t kTrialTasks = 20000;  // a trial packing looks no further ...
 constexpr std::size_t kMostLooked = 400000;   // ... nor at more rooms, each time it looks at one
 constexpr std::size_t kMostFull = 16;
-constexpr std::size_t kManySilent = 8;  // and a fifth of the fleet: more than machines that stop
-constexpr Ms kBackWithin = 20000;       // ... after their lease
-constexpr int kRentals = 24;            // for work that fits nowhere, in one go
+constexpr std::size_t kManySilent = 8;    // and a fifth of the fleet: more than machines that stop
+constexpr Ms kBackWithin = 20000;         // ... after their lease
+constexpr int kMaxScaleOutRequests = 24;  // for work that fits nowhere, in one go
 }  // namespace
 
 bool Scaler::back_soon(const Machine& m, Ms now) const {
-    return m.held && m.reported && !m.gone && !m.returning && !m.sick && m.notice_until < 0 &&
-           m.cloud != CloudStatus::failed && m.unheard == 0 && !zone_failover_.lost(m.zone) &&
-           (term_.relayed(m) ||
-            now < m.last_heartbeat + to_ms(term_.core.platform.lease_s) + kBackWithin);
+    return m.registered && m.reported && !m.terminated && !m.releasing && !m.quarantined &&
+           m.reclaim_at < 0 && m.cloud != CloudStatus::failed && m.unacknowledged_answers == 0 &&
+           !zone_failover_.lost(m.zone) &&
+           (context_.relayed(m) ||
+            now < m.last_heartbeat + to_ms(context_.controller.platform_settings.lease_s) + kBackWithin);
 }
 
 // Machines that fall silent by the dozen hang or stand behind a cut, and go on: a second fleet in
 // their place would be up when they are back. (The cloud's list tells those that died.)
 bool Scaler::many_silent(Ms now, const WorkerManager& workers) const {
     std::size_t silent = 0, all = 0;
-    for (const Machine& m : term_.cluster.machines) {
-        if (!m.held || m.gone || !m.reported) {
+    for (const Machine& m : context_.cluster.machines) {
+        if (!m.registered || m.terminated || !m.reported) {
             continue;
         }
         ++all;
-        silent += back_soon(m, now) && !workers.usable(m, now);
+        silent += back_soon(m, now) && !workers.schedulable(m, now);
     }
     return silent >= kManySilent && 5 * silent >= all;
 }
 
-void Scaler::survey(Ms now, const WorkerManager& workers, const CloudManager& cloud) {
-    ClusterState& cluster = term_.cluster;
-    const Policy& policy = term_.core.policy;
-    rooms_.clear();
-    held_.clear();
+void Scaler::measure_utilization(Ms now, const WorkerManager& workers, const CloudManager& cloud) {
+    ClusterState& cluster = context_.cluster;
+    const OperatorSettings& operator_settings = context_.controller.operator_settings;
+    bins_.clear();
+    machine_counts_.clear();
     machines_of_.clear();
-    measure_ = {};
+    utilization_ = {};
     bool together = many_silent(now, workers);
     for (Id id = 0; id < cluster.machines.size(); ++id) {
         const Machine& m = cluster.machines[id];
-        const Kind* kind = cluster.kind(m.kind);
-        if (m.gone || !m.held || !kind) {
+        const MachineType* machine_type = cluster.machine_type(m.machine_type);
+        if (m.terminated || !m.registered || !machine_type) {
             continue;
         }
-        ++held_[{m.kind, m.zone}];
-        measure_.booked += m.used;
-        bool up = workers.usable(m, now);
+        ++machine_counts_[{m.machine_type, m.zone}];
+        utilization_.allocated += m.used;
+        bool up = workers.schedulable(m, now);
         machines_of_[m.zone].reporting += up;
-        machines_of_[m.zone].on_their_way += !m.reported && !m.returning;
+        machines_of_[m.zone].on_their_way += !m.reported && !m.releasing;
         // One on its way counts as capacity, or the rule rents twice; one that is late does not.
-        bool booting = !m.reported && !m.returning &&
-                       now < m.rented_at + to_ms(kind->boot_s * policy.boot_late) + 3000;
-        bool settling = now < term_.elected_at + 6000 && !m.returning && !m.sick;
+        bool booting = !m.reported && !m.releasing &&
+                       now < m.requested_at +
+                                 to_ms(machine_type->boot_s * operator_settings.boot_late_factor) +
+                                 3000;
+        bool settling = now < context_.elected_at + 6000 && !m.releasing && !m.quarantined;
         bool silent = together && !up && back_soon(m, now);
         if (!up && !booting && !settling && !silent) {
             // What is still booked there counts on both sides.
-            measure_.capacity += m.used;
+            utilization_.capacity += m.used;
             continue;
         }
-        measure_.capacity += kind->size;
-        rooms_.push_back({kind->size - m.used, m.kind, m.zone, id, m.spot, false});
+        utilization_.capacity += machine_type->size;
+        bins_.push_back({machine_type->size - m.used, m.machine_type, m.zone, id, m.spot, false});
     }
-    for (const RentalRequest& h : cloud.rentals()) {
-        const Kind* kind = cluster.kind(h.kind);
-        if (!kind) {
+    for (const ScaleOutRequest& h : cloud.scale_out_requests()) {
+        const MachineType* machine_type = cluster.machine_type(h.machine_type);
+        if (!machine_type) {
             continue;
         }
-        measure_.capacity += kind->size * h.count;
+        utilization_.capacity += machine_type->size * h.count;
         machines_of_[h.zone].on_their_way += h.count;
         for (std::uint32_t i = 0; i < h.count; ++i) {
-            rooms_.push_back({kind->size, h.kind, h.zone, kNone, h.spot, false});
+            bins_.push_back({machine_type->size, h.machine_type, h.zone, kNone, h.spot, false});
         }
     }
     // Waiting demand, as far as the teams' limits admit it.
     waiting_.clear();
-    std::map<Id, Amounts> extra;
+    std::map<Id, Resources> extra;
     std::set<Id> blocked;
     std::uint32_t tasks = 0;
-    for (Id id : Placer::waiting_order(cluster, now, policy.rise_s, zone_failover_)) {
+    for (Id id :
+         Placer::waiting_order(cluster, now, operator_settings.priority_aging_s, zone_failover_)) {
         const Job& j = cluster.jobs[id];
         // Bound to a lost zone: no machine elsewhere helps it, and its limit keeps nobody back.
         if (zone_failover_.waits_for_zone(id)) {
@@ -102,7 +106,7 @@
         if (!team) {
             continue;
         }
-        Amounts& more = extra[j.spec.team];
+        Resources& more = extra[j.spec.team];
         std::uint32_t n = j.waiting();
         auto room = [](double limit, double used, double each) {
             if (limit <= 0 || each <= 0) {
@@ -110,9 +114,9 @@
             }
             return std::max(0.0, std::floor((limit - used + 1e-6) / each));
         };
-        Amounts used = cluster.team_used(j.spec.team) + more;
-        double most = std::min(room(team->limit.cpus, used.cpus, j.spec.each.cpus),
-                               room(team->limit.gpus, used.gpus, j.spec.each.gpus));
+        Resources used = cluster.team_used(j.spec.team) + more;
+        double most = std::min(room(team->quota.cpus, used.cpus, j.spec.each.cpus),
+                               room(team->quota.gpus, used.gpus, j.spec.each.gpus));
         if (blocked.count(j.spec.team)) {
             continue;
         }
@@ -124,14 +128,16 @@
         if (n == 0) {
             continue;
         }
-        bool fits_some = std::any_of(
-            cluster.kinds().begin(), cluster.kinds().end(),
-            [&](const Kind& k) { return j.spec.allows_kind(k.id) && j.spec.each.fits_in(k.size); });
+        bool fits_some =
+            std::any_of(cluster.machine_types().begin(), cluster.machine_types().end(),
+                        [&](const MachineType& k) {
+                            return j.spec.allows_machine_type(k.id) && j.spec.each.fits_in(k.size);
+                        });
         if (!fits_some) {
             continue;
         }
         more += j.spec.each * n;
-        measure_.waiting += j.spec.each * n;
+        utilization_.pending += j.spec.each * n;
         waiting_.push_back({id, n});
         tasks += n;
         if (tasks > kTrialTasks) {
@@ -139,70 +145,71 @@
         }
     }
     for (int r = 0; r < kResources; ++r) {
-        double want = measure_.booked.get(r) + measure_.waiting.get(r);
-        double have = measure_.capacity.get(r);
+        double want = utilization_.allocated.get(r) + utilization_.pending.get(r);
+        double have = utilization_.capacity.get(r);
         double share = want <= 1e-9 ? 0 : have <= 1e-9 ? 1e9 : want / have;
-        if (share > measure_.value) {
-            measure_.value = share;
-            measure_.driving = r;
+        if (share > utilization_.value) {
+            utilization_.value = share;
+            utilization_.driving = r;
         }
     }
 }
 
 // A trial packing of what waits on what is there or on its way; what is left needs machines.
-void Scaler::pack_all(Ms now, CloudManager* cloud) {
+void Scaler::trial_pack(Ms now, CloudManager* cloud) {
     left_.clear();
     full_.clear();
     looked_ = 0;
     // Rooms too small for any of it are not looked at again for each job: in a full fleet that is
     // most of them.
     least_ = {1e18, 1e18, 1e18};
-    for (const Demand& d : waiting_) {
-        const Amounts& each = term_.cluster.jobs[d.job].spec.each;
+    for (const PendingDemand& d : waiting_) {
+        const Resources& each = context_.cluster.jobs[d.job].spec.each;
         least_ = {std::min(least_.cpus, each.cpus), std::min(least_.gpus, each.gpus),
                   std::min(least_.ram, each.ram)};
     }
     open_.clear();
     filled_ = 0;
-    trial_ = rooms_;
+    trial_ = bins_;
     for (std::uint32_t i = 0; i < trial_.size(); ++i) {
         trial_[i].taken = false;
         if (least_.fits_in(trial_[i].free)) {
             open_.push_back(i);
         }
     }
-    int rented = 0;
-    for (const Demand& waiting : waiting_) {
+    int requested = 0;
+    for (const PendingDemand& waiting : waiting_) {
         if (looked_ > kMostLooked) {
             break;
         }
-        Demand d = waiting;
-        pack_one(d, !cloud);
-        while (d.count > 0 && cloud && rented < kRentals && rent_for(now, d, *cloud)) {
-            ++rented;
-            pack_one(d, false);
+        PendingDemand d = waiting;
+        trial_pack_demand(d, !cloud);
+        while (d.count > 0 && cloud && requested < kMaxScaleOutRequests &&
+               scale_out_for(now, d, *cloud)) {
+            ++requested;
+            trial_pack_demand(d, false);
         }
         if (d.count > 0 && cloud) {
-            pack_one(d, true);
+            trial_pack_demand(d, true);
         }
         if (d.count > 0) {
             left_.push_back(std::move(d));
         }
     }
-    term_.work.packing = looked_;
+    context_.work.packing = looked_;
 }
 
 // Tasks that must share a zone are counted zone by zone (places in two zones complete no gang), and
 // those that must be spread up to what each zone may hold. Such a job is put somewhere only whole,
 // or in part at last (`finally`), when no more is to be rented for it.
-void Scaler::pack_one(Demand& d, bool finally) {
-    const ClusterState& cluster = term_.cluster;
+void Scaler::trial_pack_demand(PendingDemand& d, bool finally) {
+    const ClusterState& cluster = context_.cluster;
     const Job& j = cluster.jobs[d.job];
     const JobSpec& s = j.spec;
     d.ways.clear();
     if (!s.one_zone && !s.spread) {
         if (!surely_full(s)) {
-            pack(s, kNone, d.count);
+            fill_bins(s, kNone, d.count);
             if (d.count > 0 && full_.size() < kMostFull) {
                 full_.push_back(d.job);
             }
@@ -241,7 +248,7 @@
             d.ways.emplace_back(zone, d.count - sum);
         }
         if (put && !sums.empty()) {
-            pack(s, sums.front().second, n);
+            fill_bins(s, sums.front().second, n);
         }
     } else {
         for (const auto& [sum, zone] : sums) {
@@ -249,7 +256,7 @@
             n -= take;
             std::uint32_t unpacked = take;
             if (put) {
-                pack(s, zone, unpacked);
+                fill_bins(s, zone, unpacked);
             }
             if (s.zone_most() > had_in(zone) + take) {
                 d.ways.emplace_back(zone, s.zone_most() - had_in(zone) - take);
@@ -267,10 +274,10 @@
 // One like it, or smaller, has found no room since rooms were last added.
 bool Scaler::surely_full(const JobSpec& s) const {
     return std::any_of(full_.begin(), full_.end(), [&](Id id) {
-        const JobSpec& f = term_.cluster.jobs[id].spec;
-        return f.any_kind == s.any_kind && f.kinds == s.kinds && f.zone == s.zone &&
-               f.spot == s.spot && f.each.cpus <= s.each.cpus && f.each.gpus <= s.each.gpus &&
-               f.each.ram <= s.each.ram;
+        const JobSpec& f = context_.cluster.jobs[id].spec;
+        return f.any_machine_type == s.any_machine_type && f.machine_types == s.machine_types &&
+               f.zone == s.zone && f.spot == s.spot && f.each.cpus <= s.each.cpus &&
+               f.each.gpus <= s.each.gpus && f.each.ram <= s.each.ram;
     });
 }
 
@@ -278,11 +285,11 @@
     std::uint32_t sum = 0;
     for (std::uint32_t i : open_) {
         ++looked_;
-        const Room& r = trial_[i];
+        const Bin& r = trial_[i];
         if (r.zone != zone || !s.each.fits_in(r.free)) {
             continue;
         }
-        sum += ClusterState::slots(s, r.kind, r.zone, r.spot, r.free);
+        sum += ClusterState::slots(s, r.machine_type, r.zone, r.spot, r.free);
         if (sum >= most) {
             return most;
         }
@@ -290,17 +297,18 @@
     return sum;
 }
 
-void Scaler::pack(const JobSpec& s, Id zone, std::uint32_t& n) {
+void Scaler::fill_bins(const JobSpec& s, Id zone, std::uint32_t& n) {
     for (std::uint32_t i : open_) {
         if (n == 0) {
             break;
         }
         ++looked_;
-        Room& r = trial_[i];
+        Bin& r = trial_[i];
         if ((zone != kNone && r.zone != zone) || !s.each.fits_in(r.free)) {
             continue;
         }
-        std::uint32_t k = std::min(n, ClusterState::slots(s, r.kind, r.zone, r.spot, r.free));
+        std::uint32_t k =
+            std::min(n, ClusterState::slots(s, r.machine_type, r.zone, r.spot, r.free));
         if (k == 0) {
             continue;
         }
@@ -316,35 +324,35 @@
     filled_ = 0;
 }
 
-void Scaler::add_rooms(const Option& o, std::uint32_t n) {
-    const Amounts& size = term_.cluster.kind(o.kind)->size;
+void Scaler::add_bins(const Option& o, std::uint32_t n) {
+    const Resources& size = context_.cluster.machine_type(o.machine_type)->size;
     full_.clear();
     for (std::uint32_t i = 0; i < n; ++i) {
-        open_.push_back(static_cast<std::uint32_t>(rooms_.size()));
-        rooms_.push_back({size, o.kind, o.zone, kNone, o.spot, false});
-        trial_.push_back(rooms_.back());
+        open_.push_back(static_cast<std::uint32_t>(bins_.size()));
+        bins_.push_back({size, o.machine_type, o.zone, kNone, o.spot, false});
+        trial_.push_back(bins_.back());
     }
 }
 
 std::vector<Scaler::Option> Scaler::options(const JobSpec* s, int resource, Ms now,
                                             const CloudManager& cloud) const {
-    const ClusterState& cluster = term_.cluster;
-    const Policy& policy = term_.core.policy;
+    const ClusterState& cluster = context_.cluster;
+    const OperatorSettings& operator_settings = context_.controller.operator_settings;
     std::vector<Option> list;
-    for (const Kind& k : cluster.kinds()) {
+    for (const MachineType& k : cluster.machine_types()) {
         if (resource >= 0 && k.size.get(resource) <= 0) {
             continue;
         }
         for (Id zone : k.zones) {
             for (bool spot : {true, false}) {
-                if (spot && (policy.spot_prefer <= 0 || k.spot_price <= 0)) {
+                if (spot && (operator_settings.prefer_spot <= 0 || k.spot_price <= 0)) {
                     continue;
                 }
                 auto suits = [&](const JobSpec& spec) {
                     return ClusterState::slots(spec, k.id, zone, spot, k.size);
                 };
                 bool any = s ? suits(*s) > 0
-                             : std::any_of(left_.begin(), left_.end(), [&](const Demand& d) {
+                             : std::any_of(left_.begin(), left_.end(), [&](const PendingDemand& d) {
                                    return suits(cluster.jobs[d.job].spec) > 0;
                                });
                 if (!any) {
@@ -356,70 +364,71 @@
                 if (o.cost <= 0) {
                     continue;
                 }
-                if (cloud.can_rent(k.id, zone, spot, now)) {
+                if (cloud.can_request(k.id, zone, spot, now)) {
                     list.push_back(o);
                 }
             }
         }
     }
     // Zones take turns: a wave or a cut takes one zone at a time.
-    auto held = [this](const Option& o) {
-        auto it = held_.find({o.kind, o.zone});
-        return it == held_.end() ? 0 : it->second;
+    auto registered = [this](const Option& o) {
+        auto it = machine_counts_.find({o.machine_type, o.zone});
+        return it == machine_counts_.end() ? 0 : it->second;
     };
     std::stable_sort(list.begin(), list.end(), [&](const Option& a, const Option& b) {
-        if (policy.order == "cores" && a.cores != b.cores) {
+        if (operator_settings.order == "cores" && a.cores != b.cores) {
             return a.cores > b.cores;
         }
         if (std::abs(a.cost - b.cost) > 1e-9) {
             return a.cost < b.cost;
         }
-        return held(a) < held(b);
+        return registered(a) < registered(b);
     });
     return list;
 }
 
-std::uint32_t Scaler::held_of(Id kind, const CloudManager& cloud) const {
+std::uint32_t Scaler::machine_count(Id machine_type, const CloudManager& cloud) const {
     std::uint32_t n = 0;
-    for (const auto& [where, count] : held_) {
-        n += where.first == kind ? count : 0;
+    for (const auto& [where, count] : machine_counts_) {
+        n += where.first == machine_type ? count : 0;
     }
-    for (const RentalRequest& h : cloud.rentals()) {
-        n += h.kind == kind ? h.count : 0;
+    for (const ScaleOutRequest& h : cloud.scale_out_requests()) {
+        n += h.machine_type == machine_type ? h.count : 0;
     }
     return n;
 }
 
-std::uint32_t Scaler::rent(Ms now, const Option& o, std::uint32_t n, const std::string& why,
-                           CloudManager& cloud, Id for_job) {
-    const Policy& policy = term_.core.policy;
-    std::uint32_t held = held_of(o.kind, cloud);
-    if (held >= policy.cap_per_kind) {
+std::uint32_t Scaler::request_machines(Ms now, const Option& o, std::uint32_t n,
+                                       const std::string& why, CloudManager& cloud, Id for_job) {
+    const OperatorSettings& operator_settings = context_.controller.operator_settings;
+    std::uint32_t registered = machine_count(o.machine_type, cloud);
+    if (registered >= operator_settings.max_per_machine_type) {
         return 0;
     }
-    n = std::min(n, policy.cap_per_kind - held);
+    n = std::min(n, operator_settings.max_per_machine_type - registered);
     ZoneMachines& there = machines_of_[o.zone];
-    n = std::min(n, zone_failover_.rentable(o.zone, there.reporting, there.on_their_way, for_job));
-    bool permanent = !cloud.first_rented() && policy.permanent_first > 0;
+    n = std::min(n, zone_failover_.scale_out_allowance(o.zone, there.reporting, there.on_their_way,
+                                                       for_job));
+    bool permanent = !cloud.first_scale_out_done() && operator_settings.permanent_first > 0;
     if (permanent) {
-        n = std::min(n, policy.permanent_first);
+        n = std::min(n, operator_settings.permanent_first);
     }
-    if (n == 0 || !cloud.rent(now, o.kind, o.zone, o.spot, n, permanent, why)) {
+    if (n == 0 || !cloud.request_machines(now, o.machine_type, o.zone, o.spot, n, permanent, why)) {
         return 0;
     }
     there.on_their_way += n;
     return n;
 }
 
-void Scaler::rent_by_rule(Ms now, CloudManager& cloud) {
-    const Policy& policy = term_.core.policy;
-    if (measure_.value <= policy.mark_high || waiting_.empty()) {
+void Scaler::scale_out_by_utilization(Ms now, CloudManager& cloud) {
+    const OperatorSettings& operator_settings = context_.controller.operator_settings;
+    if (utilization_.value <= operator_settings.mark_high || waiting_.empty()) {
         return;
     }
-    int r = measure_.driving;
-    double middle = (policy.mark_low + policy.mark_high) / 2;
-    double need =
-        (measure_.booked.get(r) + measure_.waiting.get(r)) / middle - measure_.capacity.get(r);
+    int r = utilization_.driving;
+    double middle = (operator_settings.mark_low + operator_settings.mark_high) / 2;
+    double need = (utilization_.allocated.get(r) + utilization_.pending.get(r)) / middle -
+                  utilization_.capacity.get(r);
     // What a lost zone displaced is divided among the others.
     double parts = zone_failover_.evacuating() ? zone_failover_.open_zones() : 1;
     double part = need / parts;
@@ -427,65 +436,68 @@
         if (need <= 1e-6) {
             break;
         }
-        double each = term_.cluster.kind(o.kind)->size.get(r);
+        double each = context_.cluster.machine_type(o.machine_type)->size.get(r);
         double wanted = std::ceil(std::min(need, part) / each);
         auto n = static_cast<std::uint32_t>(std::clamp(wanted, 1.0, 50.0));
-        n = rent(now, o, n,
-                 fmt::format("measure {:.2f} of {} above {:.2f}", std::min(measure_.value, 999.0),
-                             resource_name(r), policy.mark_high),
-                 cloud);
+        n = request_machines(
+            now, o, n,
+            fmt::format("measure {:.2f} of {} above {:.2f}", std::min(utilization_.value, 999.0),
+                        resource_name(r), operator_settings.mark_high),
+            cloud);
         if (n == 0) {
             continue;
         }
         need -= each * n;
-        add_rooms(o, n);
+        add_bins(o, n);
         out_at_ = now;
     }
 }
 
 // Exception: the fleet-wide share can't see a task that fits nowhere (kind, zone, spot,
 // fragmentation). The cheapest machine for it is rented, one option at a time.
-bool Scaler::rent_for(Ms now, const Demand& d, CloudManager& cloud) {
-    const Job& j = term_.cluster.jobs[d.job];
-    if (now < j.waiting_since + to_ms(term_.core.policy.unplaceable_after_s)) {
+bool Scaler::scale_out_for(Ms now, const PendingDemand& d, CloudManager& cloud) {
+    const Job& j = context_.cluster.jobs[d.job];
+    if (now < j.waiting_since + to_ms(context_.controller.operator_settings.unplaceable_after_s)) {
         return false;
     }
     std::vector<Option> all = options(&j.spec, -1, now, cloud);
     return std::any_of(d.ways.begin(), d.ways.end(), [&](const auto& way) {
-        return way.second > 0 && rent_places(now, j, way.first, way.second, all, cloud);
+        return way.second > 0 && scale_out_places(now, j, way.first, way.second, all, cloud);
     });
 }
 
-bool Scaler::rent_places(Ms now, const Job& j, Id zone, std::uint32_t count,
-                         const std::vector<Option>& all, CloudManager& cloud) {
+bool Scaler::scale_out_places(Ms now, const Job& j, Id zone, std::uint32_t count,
+                              const std::vector<Option>& all, CloudManager& cloud) {
     for (const Option& o : all) {
         if (zone != kNone && o.zone != zone) {
             continue;
         }
-        const Kind* kind = term_.cluster.kind(o.kind);
-        std::uint32_t per = ClusterState::slots(j.spec, o.kind, o.zone, o.spot, kind->size);
+        const MachineType* machine_type = context_.cluster.machine_type(o.machine_type);
+        std::uint32_t per =
+            ClusterState::slots(j.spec, o.machine_type, o.zone, o.spot, machine_type->size);
         if (per == 0) {
             continue;
         }
         std::uint32_t n = (count + per - 1) / per;
-        n = rent(now, o, n, fmt::format("{} has {} tasks that fit nowhere", j.spec.id, count),
-                 cloud, term_.cluster.find_job(j.spec.id));
+        n = request_machines(now, o, n,
+                             fmt::format("{} has {} tasks that fit nowhere", j.spec.id, count),
+                             cloud, context_.cluster.find_job(j.spec.id));
         if (n == 0) {
             continue;
         }
-        add_rooms(o, n);
+        add_bins(o, n);
         out_at_ = now;
         return true;
     }
     return false;
 }
 
-void Scaler::give_back(Ms now, CloudManager& cloud) {
-    const Policy& policy = term_.core.policy;
-    ClusterState& cluster = term_.cluster;
+void Scaler::scale_in(Ms now, CloudManager& cloud) {
+    const OperatorSettings& operator_settings = context_.controller.operator_settings;
+    ClusterState& cluster = context_.cluster;
     // Singly, as the design says; at hundreds of machines several intervals may have passed since
     // the last tick, and each of them is due its one machine.
-    Ms interval = std::max<Ms>(1, to_ms(policy.in_interval_s));
+    Ms interval = std::max<Ms>(1, to_ms(operator_settings.in_interval_s));
     auto due =
         static_cast<std::uint32_t>(std::clamp<Ms>((now - in_at_) / interval, 0, kTick / interval));
     if (due == 0) {
@@ -495,7 +507,7 @@
         return;
     }
     std::set<Id> wanted;
-    for (const Room& r : trial_) {
+    for (const Bin& r : trial_) {
         if (r.taken && r.machine != kNone) {
             wanted.insert(r.machine);
         }
@@ -503,23 +515,24 @@
     std::vector<std::pair<double, Id>> empty;
     // Below the low mark one goes; above it only one that has stood empty for long: a measure held
     // up by one resource says nothing of machines bought for another.
-    bool below = measure_.value < policy.mark_low;
+    bool below = utilization_.value < operator_settings.mark_low;
     for (Id id = 0; id < cluster.machines.size(); ++id) {
         Machine& m = cluster.machines[id];
         if (!m.tasks.empty()) {
             m.idle_since = now;
         }
-        const Kind* kind = cluster.kind(m.kind);
-        if (m.gone || !m.held || m.returning || m.permanent || !m.reported || !kind) {
+        const MachineType* machine_type = cluster.machine_type(m.machine_type);
+        if (m.terminated || !m.registered || m.releasing || m.permanent || !m.reported ||
+            !machine_type) {
             continue;
         }
         // One that is kept for a gang stands empty until its mates are free.
-        if (!m.tasks.empty() || wanted.count(id) || m.kept_for != kNone) {
+        if (!m.tasks.empty() || wanted.count(id) || m.reserved_for != kNone) {
             continue;
         }
-        double price = m.spot ? kind->spot_price : kind->price;
+        double price = m.spot ? machine_type->spot_price : machine_type->price;
         double wasted = price / 3600.0 * static_cast<double>(now - m.idle_since) / 1000.0;
-        bool idle = policy.idle_cost > 0 && wasted > policy.idle_cost;
+        bool idle = operator_settings.max_idle_cost > 0 && wasted > operator_settings.max_idle_cost;
         if (!idle && !(below && now >= m.idle_since + 5000)) {
             continue;
         }
@@ -531,7 +544,7 @@
     }
     for (const auto& [price, id] : empty) {
         in_at_ = now + interval;
-        cloud.give_back(now, id, below ? "below the low mark" : "idle");
+        cloud.release_machine(now, id, below ? "below the low mark" : "idle");
     }
 }
 
@@ -541,48 +554,50 @@
         return;
     }
     told_at_ = now + 10000;
-    const ClusterState& cluster = term_.cluster;
+    const ClusterState& cluster = context_.cluster;
     std::string line;
     for (const Machine& m : cluster.machines) {
-        if (m.gone) {
+        if (m.terminated) {
             continue;
         }
-        line += fmt::format(" {}:{}{}:{}t/{}c/{}g/{}r", m.name,
-                            m.kind == kNone ? "?" : cluster.names.kinds.name(m.kind),
-                            workers.usable(m, now) ? "" : "(not up)", m.tasks.size(), m.used.cpus,
-                            m.used.gpus, m.used.ram);
+        line += fmt::format(
+            " {}:{}{}:{}t/{}c/{}g/{}r", m.name,
+            m.machine_type == kNone ? "?" : cluster.names.machine_types.name(m.machine_type),
+            workers.schedulable(m, now) ? "" : "(not up)", m.tasks.size(), m.used.cpus, m.used.gpus,
+            m.used.ram);
     }
     spdlog::debug(
         "measure {:.2f} of {}, {} jobs wait, {} with tasks that fit nowhere, {} writes queued;{}",
-        std::min(measure_.value, 999.0), resource_name(measure_.driving), waiting_.size(),
-        left_.size(), term_.core.state.queued(), line);
+        std::min(utilization_.value, 999.0), resource_name(utilization_.driving), waiting_.size(),
+        left_.size(), context_.controller.store.queued(), line);
 }
 
 void Scaler::tick(Ms now, const WorkerManager& workers, CloudManager& cloud) {
-    if (now < next_ && !term_.rent_now) {
+    if (now < next_ && !context_.scale_out_now) {
         return;
     }
     next_ = now + kTick;
-    bool at_once = term_.rent_now;
-    term_.rent_now = false;
-    if (!cloud.known() || term_.cluster.kinds().empty()) {
+    bool at_once = context_.scale_out_now;
+    context_.scale_out_now = false;
+    if (!cloud.known() || context_.cluster.machine_types().empty()) {
         return;
     }
-    survey(now, workers, cloud);
+    measure_utilization(now, workers, cloud);
     // A new leader has not heard all machines yet: it waits one interval before it rents.
     if (out_at_ < 0) {
-        out_at_ = term_.elected_at;
+        out_at_ = context_.elected_at;
     }
-    pack_all(now, nullptr);
+    trial_pack(now, nullptr);
     tell(now, workers);
-    if (at_once || now >= out_at_ + to_ms(term_.core.policy.out_interval_s)) {
-        std::size_t had = rooms_.size();
-        rent_by_rule(now, cloud);
-        if (!left_.empty() || rooms_.size() > had) {
-            pack_all(now, term_.core.policy.rent_unplaceable ? &cloud : nullptr);
+    if (at_once || now >= out_at_ + to_ms(context_.controller.operator_settings.out_interval_s)) {
+        std::size_t had = bins_.size();
+        scale_out_by_utilization(now, cloud);
+        if (!left_.empty() || bins_.size() > had) {
+            trial_pack(now,
+                       context_.controller.operator_settings.scale_out_unplaceable ? &cloud : nullptr);
         }
     }
-    give_back(now, cloud);
+    scale_in(now, cloud);
 }
 
 }  // namespace walkford
--- a/src/coordination/state_client.cpp
+++ b/src/coordination/state_client.cpp
@@ -14,47 +14,47 @@
 constexpr Ms kPauseAfterRefusal = 120;
 }  // namespace
 
-StateClient::StateClient(const StateLimits& current, const std::optional<StateLimits>& next,
-                         std::uint32_t nodes)
-    : limits_(current, next), nodes_(nodes) {}
+StoreClient::StoreClient(const StoreLimits& current, const std::optional<StoreLimits>& next,
+                         std::uint32_t controllers)
+    : limits_(current, next), controllers_(controllers) {}
 
-double StateClient::rate() const {
+double StoreClient::rate() const {
     double allowed = limits_.writes_per_s();
     if (leading_) {
         return std::max(1.0, allowed * kLeaderShare);
     }
-    double others = nodes_ > 1 ? kFollowersShare / (nodes_ - 1) : kFollowersShare;
+    double others = controllers_ > 1 ? kFollowersShare / (controllers_ - 1) : kFollowersShare;
     return std::max(0.5, allowed * others);
 }
 
-CallId StateClient::open(Pending pending) {
+CallId StoreClient::open(Pending pending) {
     CallId id = next_++;
     pending.sent = clock_;
     pending_.emplace(id, std::move(pending));
     return id;
 }
 
-void StateClient::get(const std::string& key, Then then, Outputs& out) {
-    StateCall c;
-    c.verb = StateVerb::get;
+void StoreClient::get(const std::string& key, Then then, Outputs& out) {
+    StoreRequest c;
+    c.operation = StoreOperation::get;
     c.key = key;
     c.call = open({std::move(then)});
     out.emplace_back(std::move(c));
 }
 
-void StateClient::list(const std::string& prefix, const std::string& after, Then then,
+void StoreClient::list(const std::string& prefix, const std::string& after, Then then,
                        Outputs& out) {
-    StateCall c;
-    c.verb = StateVerb::list;
+    StoreRequest c;
+    c.operation = StoreOperation::list;
     c.key = prefix;
     c.after_key = after;
     c.call = open({std::move(then)});
     out.emplace_back(std::move(c));
 }
 
-void StateClient::changes(std::uint64_t after, Ms wait, Then then, Outputs& out) {
-    StateCall c;
-    c.verb = StateVerb::changes;
+void StoreClient::changes(std::uint64_t after, Ms wait, Then then, Outputs& out) {
+    StoreRequest c;
+    c.operation = StoreOperation::changes;
     c.key = keys::kRoot;
     c.after = after;
     c.wait_ms = wait;
@@ -62,35 +62,36 @@
     out.emplace_back(std::move(c));
 }
 
-void StateClient::lease_grant(Ms ttl, Then then, Outputs& out) {
-    StateCall c;
-    c.verb = StateVerb::lease_grant;
+void StoreClient::lease_grant(Ms ttl, Then then, Outputs& out) {
+    StoreRequest c;
+    c.operation = StoreOperation::lease_grant;
     c.ttl_ms = ttl;
     c.call = open({std::move(then)});
     out.emplace_back(std::move(c));
 }
 
-void StateClient::lease_touch(std::uint64_t lease, Then then, Outputs& out) {
-    StateCall c;
-    c.verb = StateVerb::lease_touch;
+void StoreClient::lease_renew(std::uint64_t lease, Then then, Outputs& out) {
+    StoreRequest c;
+    c.operation = StoreOperation::lease_renew;
     c.lease = lease;
     c.call = open({std::move(then)});
     out.emplace_back(std::move(c));
 }
 
-void StateClient::lease_drop(std::uint64_t lease, Outputs& out) {
-    StateCall c;
-    c.verb = StateVerb::lease_drop;
+void StoreClient::lease_revoke(std::uint64_t lease, Outputs& out) {
+    StoreRequest c;
+    c.operation = StoreOperation::lease_revoke;
     c.lease = lease;
-    c.call = open({[](Ms, const StateReply&) {}});
+    c.call = open({[](Ms, const StoreResponse&) {}});
     out.emplace_back(std::move(c));
 }
 
-void StateClient::txn(Urgency urgency, Txn txn, Then then) {
-    queues_[static_cast<std::size_t>(urgency)].push_back({std::move(txn), std::move(then)});
+void StoreClient::transaction(RequestPriority priority, Transaction transaction, Then then) {
+    queues_[static_cast<std::size_t>(priority)].push_back(
+        {std::move(transaction), std::move(then)});
 }
 
-std::size_t StateClient::queued() const {
+std::size_t StoreClient::queued() const {
     std::size_t n = 0;
     for (const auto& q : queues_) {
         n += q.size();
@@ -98,7 +99,7 @@
     return n;
 }
 
-void StateClient::reply(Ms now, const StateReply& reply) {
+void StoreClient::reply(Ms now, const StoreResponse& reply) {
     clock_ = now;
     auto it = pending_.find(reply.call);
     if (it == pending_.end()) {
@@ -110,23 +111,23 @@
         last_reached_ = now;
         seen_revision_ = std::max(seen_revision_, reply.revision);
         // (The answer about one key names no revision but that of its last change.)
-        for (const StateRow& row : reply.rows) {
-            seen_revision_ = std::max(seen_revision_, row.stamp);
+        for (const StoreEntry& row : reply.rows) {
+            seen_revision_ = std::max(seen_revision_, row.version);
         }
         refused_ = 0;
     } else if (reply.status != 429) {
         ++refused_;
     }
     if (reply.status == 429) {
-        held_until_ = std::max(held_until_, now + kPauseAfterRefusal);
-        if (p.txn) {
+        paused_until_ = std::max(paused_until_, now + kPauseAfterRefusal);
+        if (p.transaction) {
             if (limits_.refused(now)) {
                 spdlog::info("the state service admits fewer changes: {:.1f} a second",
                              limits_.writes_per_s());
             }
             // Not executed: it goes back to the head of its queue.
-            queues_[static_cast<std::size_t>(p.txn->first)].push_front(
-                {std::move(p.txn->second), std::move(p.then)});
+            queues_[static_cast<std::size_t>(p.transaction->first)].push_front(
+                {std::move(p.transaction->second), std::move(p.then)});
             return;
         }
     }
@@ -136,19 +137,19 @@
     p.then(now, reply);
 }
 
-void StateClient::pump(Ms now, Outputs& out) {
+void StoreClient::pump(Ms now, Outputs& out) {
     clock_ = now;
     double allowed = rate();
     double burst = std::max(2.0, allowed * 0.8);
     tokens_ = std::min(burst, tokens_ + allowed * static_cast<double>(now - refilled_) / 1000.0);
     refilled_ = now;
-    if (now < held_until_) {
+    if (now < paused_until_) {
         return;
     }
-    for (std::size_t u = 0; u < kUrgencies; ++u) {
+    for (std::size_t u = 0; u < kRequestPriorities; ++u) {
         auto& queue = queues_[u];
         while (!queue.empty()) {
-            double cost = static_cast<double>(queue.front().txn.writes.size());
+            double cost = static_cast<double>(queue.front().transaction.writes.size());
             // A transaction larger than the bucket goes once the bucket is full.
             if (u != 0 && tokens_ < std::min(cost, burst)) {
                 return;
@@ -156,11 +157,11 @@
             tokens_ -= cost;
             Queued q = std::move(queue.front());
             queue.pop_front();
-            StateCall c;
-            c.verb = StateVerb::txn;
-            c.txn = q.txn;
-            c.call =
-                open({std::move(q.then), 0, std::pair{static_cast<Urgency>(u), std::move(q.txn)}});
+            StoreRequest c;
+            c.operation = StoreOperation::transaction;
+            c.transaction = q.transaction;
+            c.call = open({std::move(q.then), 0,
+                           std::pair{static_cast<RequestPriority>(u), std::move(q.transaction)}});
             out.emplace_back(std::move(c));
         }
     }
--- a/src/coordination/state_client.hpp
+++ b/src/coordination/state_client.hpp
@@ -13,31 +13,31 @@
 
 // Until when a lease of the state service that was granted or renewed is surely held: counted from
 // when that was asked for, less drift and a margin.
-inline Ms lease_held_until(Ms asked_at, Ms ttl) {
+inline Ms lease_valid_until(Ms asked_at, Ms ttl) {
     constexpr Ms kMargin = 200;
     return asked_at + ttl - ttl / 1000 - kMargin;
 }
 
 // Order of service when the allowance is short.
-enum class Urgency : std::uint8_t { leadership, cancel, accept, placement, done, progress };
-inline constexpr std::size_t kUrgencies = 6;
+enum class RequestPriority : std::uint8_t { leadership, cancel, accept, placement, done, progress };
+inline constexpr std::size_t kRequestPriorities = 6;
 
-class StateClient {
+class StoreClient {
   public:
-    using Then = std::function<void(Ms, const StateReply&)>;
+    using Then = std::function<void(Ms, const StoreResponse&)>;
 
-    StateClient(const StateLimits& current, const std::optional<StateLimits>& next,
-                std::uint32_t nodes);
+    StoreClient(const StoreLimits& current, const std::optional<StoreLimits>& next,
+                std::uint32_t controllers);
 
     void get(const std::string& key, Then then, Outputs& out);
     void list(const std::string& prefix, const std::string& after, Then then, Outputs& out);
     void changes(std::uint64_t after, Ms wait, Then then, Outputs& out);
     void lease_grant(Ms ttl, Then then, Outputs& out);
-    void lease_touch(std::uint64_t lease, Then then, Outputs& out);
-    void lease_drop(std::uint64_t lease, Outputs& out);
-    void txn(Urgency urgency, Txn txn, Then then);
+    void lease_renew(std::uint64_t lease, Then then, Outputs& out);
+    void lease_revoke(std::uint64_t lease, Outputs& out);
+    void transaction(RequestPriority priority, Transaction transaction, Then then);
 
-    void reply(Ms now, const StateReply& reply);
+    void reply(Ms now, const StoreResponse& reply);
     void pump(Ms now, Outputs& out);
     void set_leading(bool leading) { leading_ = leading; }
 
@@ -48,16 +48,16 @@
     // Refusals or silences in a row.
     int refused() const { return refused_; }
     std::size_t queued() const;
-    const StateLimitsInForce& limits() const { return limits_; }
+    const EffectiveStoreLimits& limits() const { return limits_; }
 
   private:
     struct Pending {
         Then then = {};
         Ms sent = 0;
-        std::optional<std::pair<Urgency, Txn>> txn = std::nullopt;
+        std::optional<std::pair<RequestPriority, Transaction>> transaction = std::nullopt;
     };
     struct Queued {
-        Txn txn;
+        Transaction transaction;
         Then then;
     };
     CallId open(Pending pending);
@@ -67,12 +67,12 @@
     CallId next_ = 1;
     Ms clock_ = 0;
     std::unordered_map<CallId, Pending> pending_;
-    std::array<std::deque<Queued>, kUrgencies> queues_;
-    StateLimitsInForce limits_;
-    std::uint32_t nodes_;
+    std::array<std::deque<Queued>, kRequestPriorities> queues_;
+    EffectiveStoreLimits limits_;
+    std::uint32_t controllers_;
     double tokens_ = 4;
     Ms refilled_ = 0;
-    Ms held_until_ = 0;
+    Ms paused_until_ = 0;
     bool leading_ = false;
     Ms last_reached_ = -1;
     std::uint64_t seen_revision_ = 0;
--- a/src/coordination/state_limits.hpp
+++ b/src/coordination/state_limits.hpp
@@ -12,20 +12,20 @@
 
 namespace walkford {
 
-struct StateLimits {
+struct StoreLimits {
     double requests_per_s = 100;
     double writes_per_s = 20;
     double value_kb = 4;
-    std::uint32_t txn_ops = 8;
+    std::uint32_t transaction_operations = 8;
 };
 
 // Sizes obey the smaller of both from the start: what is small enough for the later limits is valid
 // under the earlier ones too. The rate falls to the later one once refusals show that it is in
 // force. One refusal shows nothing, since other controllers share the allowance; several within a
 // few seconds from a controller that keeps to its share do. It never rises again.
-class StateLimitsInForce {
+class EffectiveStoreLimits {
   public:
-    StateLimitsInForce(const StateLimits& current, const std::optional<StateLimits>& next)
+    EffectiveStoreLimits(const StoreLimits& current, const std::optional<StoreLimits>& next)
         : current_(current), next_(next.value_or(current)) {}
 
     std::size_t value_bytes() const {
@@ -35,7 +35,9 @@
     std::size_t current_value_bytes() const {
         return static_cast<std::size_t>(current_.value_kb * 1024.0);
     }
-    std::uint32_t txn_ops() const { return std::min(current_.txn_ops, next_.txn_ops); }
+    std::uint32_t transaction_operations() const {
+        return std::min(current_.transaction_operations, next_.transaction_operations);
+    }
     double writes_per_s() const {
         return lowered_ ? std::min(current_.writes_per_s, next_.writes_per_s)
                         : current_.writes_per_s;
@@ -50,16 +52,16 @@
         while (refusals_.front() + kWindow < now) {
             refusals_.pop_front();
         }
-        lowered_ = refusals_.size() >= kProof;
+        lowered_ = refusals_.size() >= kRefusalsToConfirm;
         return lowered_;
     }
 
   private:
-    static constexpr std::size_t kProof = 3;
+    static constexpr std::size_t kRefusalsToConfirm = 3;
     static constexpr Ms kWindow = 10000;
 
-    StateLimits current_;
-    StateLimits next_;
+    StoreLimits current_;
+    StoreLimits next_;
     std::deque<Ms> refusals_;
     bool lowered_ = false;
 };
--- a/src/coordination/term_fwd.hpp
+++ b/src/coordination/term_fwd.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
 namespace walkford {
-struct Term;
+struct LeaderContext;
 class TaskLifecycle;
 }  // namespace walkford
--- a/src/coordination/user_requests.cpp
+++ b/src/coordination/user_requests.cpp
@@ -15,22 +15,22 @@
 // When to come back with what waits for an upgrade: controllers restart within seconds.
 constexpr int kRetryAfterUpgradeS = 5;
 constexpr std::size_t kTaskRecordBytes = 48;  // of a placement record, one task
-constexpr std::size_t kLeastChunk = 4;
-constexpr std::size_t kMostChunk = 64;
+constexpr std::size_t kMinTasksPerRecord = 4;
+constexpr std::size_t kMaxTasksPerRecord = 64;
 }  // namespace
 
-void UserRequests::answer(RequestId request, UserAnswer a) {
+void UserRequests::answer(RequestId request, UserResponse a) {
     auto it = open_.find(request);
     if (it == open_.end()) {
         return;  // answered already, or given up
     }
     open_.erase(it);
     a.request = request;
-    core_.out.emplace_back(std::move(a));
+    context_.out.emplace_back(std::move(a));
 }
 
 void UserRequests::refuse(RequestId request, int code, const std::string& error, int retry_after) {
-    UserAnswer a;
+    UserResponse a;
     a.code = code;
     a.error = error;
     a.retry_after_s = code == 503 || code == 429 ? retry_after : 0;
@@ -50,15 +50,15 @@
 }
 
 void UserRequests::tell_state(RequestId request, const std::string& id, bool polled) {
-    UserAnswer a;
+    UserResponse a;
     a.code = 200;
     a.id = id;
     a.with_counts = polled;
-    if (auto ended = core_.view.ended(id)) {
+    if (auto ended = context_.replica.ended(id)) {
         a.status = ended->cancelled ? JobStatus::cancelled : JobStatus::done;
         a.done = ended->cancelled ? 0 : ended->tasks;
-    } else if (const JobView* job = core_.view.job(id)) {
-        View::Counts counts = core_.view.counts(id);
+    } else if (const StoredJob* job = context_.replica.job(id)) {
+        StoreReplica::Counts counts = context_.replica.counts(id);
         a.done = counts.done;
         a.running = counts.running;
         a.status = job->record.cancelled ? JobStatus::cancelled
@@ -70,8 +70,8 @@
 
 void UserRequests::find_fresh(Ms now, RequestId request, const std::string& id, Found known,
                               Found unknown) {
-    keeper_.barrier(now, [this, request, id, known = std::move(known),
-                          unknown = std::move(unknown)](Ms at, bool ok) {
+    watcher_.barrier(now, [this, request, id, known = std::move(known),
+                           unknown = std::move(unknown)](Ms at, bool ok) {
         if (!is_open(request)) {
             return;
         }
@@ -79,21 +79,21 @@
             refuse(request, 503, "the state service does not answer");
             return;
         }
-        if (core_.view.ended(id) || core_.view.job(id)) {
+        if (context_.replica.ended(id) || context_.replica.job(id)) {
             known(at);
             return;
         }
         // Not live by a proven view: it ended long ago or was never accepted. A job moves from the
         // live to the ended ones in one transaction, so this later look can't miss it.
-        core_.state.get(
+        context_.store.get(
             keys::ended(id),
-            [this, request, id, known, unknown](Ms then, const StateReply& r) {
+            [this, request, id, known, unknown](Ms then, const StoreResponse& r) {
                 if (!is_open(request)) {
                     return;
                 }
                 if (r.status == 200 && r.rows.size() == 1 && r.rows[0].value) {
                     if (auto ended = decode_ended(*r.rows[0].value)) {
-                        core_.view.remember_ended(id, *ended);
+                        context_.replica.remember_ended(id, *ended);
                         known(then);
                         return;
                     }
@@ -104,7 +104,7 @@
                     refuse(request, 503, "the state service does not answer");
                 }
             },
-            core_.out);
+            context_.out);
     });
 }
 
@@ -117,7 +117,8 @@
 
 bool UserRequests::admit(Ms now, RequestId request, const std::string& id, Ms budget) {
     open_[request] = Open{id, now + budget};
-    if (open_.size() <= std::max<std::size_t>(kLeastOpen, core_.platform.fd_limit / 3)) {
+    if (open_.size() <=
+        std::max<std::size_t>(kLeastOpen, context_.platform_settings.fd_limit / 3)) {
         return true;
     }
     refuse(request, 503, "too many requests wait", 2);
@@ -128,8 +129,8 @@
     if (!admit(now, q.request, q.id, kPollBudget)) {
         return;
     }
-    auto ended = core_.view.ended(q.id);
-    const JobView* job = core_.view.job(q.id);
+    auto ended = context_.replica.ended(q.id);
+    const StoredJob* job = context_.replica.job(q.id);
     if (ended || (job && job->record.cancelled)) {
         tell_state(q.request, q.id, true);  // terminal: never changes, so it is never too old
         return;
@@ -140,28 +141,28 @@
 
 std::string UserRequests::judge(SubmitRequest& q) {
     JobSpec& s = q.spec;
-    s.team = core_.names.teams.find(q.team_name);
-    if (s.team == kNone || s.team >= core_.platform.teams.size()) {
+    s.team = context_.names.teams.find(q.team_name);
+    if (s.team == kNone || s.team >= context_.platform_settings.teams.size()) {
         return "unknown team";
     }
     if (q.zone_named) {
-        s.zone = core_.names.zones.find(q.zone_name);
+        s.zone = context_.names.zones.find(q.zone_name);
         if (s.zone == kNone) {
             return "unknown zone";
         }
     }
-    if (q.kinds_named) {
-        s.any_kind = false;
-        for (const std::string& name : q.kind_names) {
-            Id k = core_.names.kinds.find(name);
+    if (q.machine_types_named) {
+        s.any_machine_type = false;
+        for (const std::string& name : q.machine_type_names) {
+            Id k = context_.names.machine_types.find(name);
             if (k != kNone) {
-                s.kinds.push_back(k);
+                s.machine_types.push_back(k);
             }
         }
     }
     std::set<Id> zones;  // where a task may be
-    for (const Kind& k : core_.kinds) {
-        if (!s.allows_kind(k.id) || !s.each.fits_in(k.size)) {
+    for (const MachineType& k : context_.machine_types) {
+        if (!s.allows_machine_type(k.id) || !s.each.fits_in(k.size)) {
             continue;
         }
         for (Id zone : k.zones) {
@@ -177,10 +178,10 @@
     if (s.starts_together() && s.spread && (s.one_zone || zones.size() < 2)) {
         return "all tasks at once and spread over zones, with one zone to be in";
     }
-    const Team& team = core_.platform.teams[s.team];
+    const Team& team = context_.platform_settings.teams[s.team];
     double n = s.needed_at_once();
     auto over = [&](double each, double limit) { return limit > 0 && each * n > limit + 1e-6; };
-    if (over(s.each.cpus, team.limit.cpus) || over(s.each.gpus, team.limit.gpus)) {
+    if (over(s.each.cpus, team.quota.cpus) || over(s.each.gpus, team.quota.gpus)) {
         return "needs more than the team's limit";
     }
     return {};
@@ -201,26 +202,26 @@
     if (!admit(now, request, id, kWriteBudget)) {
         return;
     }
-    if (!keeper_.ready()) {
+    if (!watcher_.ready()) {
         refuse(request, 503, "recovering");
         return;
     }
     // A known job is told of before its body is judged: types and bodies may have changed since.
-    if (core_.view.ended(id)) {
+    if (context_.replica.ended(id)) {
         tell_state(request, id, false);
         return;
     }
-    if (core_.view.job(id)) {
+    if (context_.replica.job(id)) {
         tell_fresh(now, request, id, false,
                    [this, request](Ms) { refuse(request, 503, "try again"); });
         return;
     }
-    if (core_.kinds.empty()) {
+    if (context_.machine_types.empty()) {
         refuse(request, 503, "machine types not known yet");
         return;
     }
     // An older controller would take it for a batch, and call it done.
-    if (q.spec.service() && !core_.may_write(kFeatureServices)) {
+    if (q.spec.service() && !context_.may_write(kFeatureServices)) {
         refuse(request, 503, "services are taken once all controllers are upgraded",
                kRetryAfterUpgradeS);
         return;
@@ -232,17 +233,18 @@
     }
     JobSpec spec = std::move(q.spec);
     // Users choose these names; beyond a few hundred classes they are not told apart.
-    if (core_.names.lanes.size() < 256 || core_.names.lanes.find(q.lane_name) != kNone) {
-        spec.lane = core_.names.lanes.intern(q.lane_name);
+    if (context_.names.job_classes.size() < 256 ||
+        context_.names.job_classes.find(q.job_class_name) != kNone) {
+        spec.job_class = context_.names.job_classes.intern(q.job_class_name);
     }
     if (!q.image_name.empty()) {
-        spec.image = core_.names.images.intern(q.image_name);
+        spec.image = context_.names.images.intern(q.image_name);
     }
-    std::size_t value_bytes = core_.state.limits().value_bytes();
+    std::size_t value_bytes = context_.store.limits().value_bytes();
     // Sized so that a record with every task on another machine stays within a value.
-    spec.chunk = static_cast<std::uint32_t>(
-        std::clamp(value_bytes / kTaskRecordBytes, kLeastChunk, kMostChunk));
-    Json record = encode_job({std::move(spec), false}, core_.names);
+    spec.tasks_per_record = static_cast<std::uint32_t>(
+        std::clamp(value_bytes / kTaskRecordBytes, kMinTasksPerRecord, kMaxTasksPerRecord));
+    Json record = encode_job({std::move(spec), false}, context_.names);
     if (record.dump().size() > value_bytes) {
         refuse_for_good(now, request, id, "its description is too large to be stored");
         return;
@@ -251,17 +253,17 @@
 }
 
 void UserRequests::create(RequestId request, const std::string& id, Json record, int tries) {
-    Txn txn;
-    txn.conditions = {{keys::job(id), 0}, {keys::ended(id), 0}};
-    txn.writes = {{keys::job(id), record, 0}};
-    core_.state.txn(
-        Urgency::accept, std::move(txn),
-        [this, request, id, record = std::move(record), tries](Ms at, const StateReply& r) {
+    Transaction transaction;
+    transaction.comparisons = {{keys::job(id), 0}, {keys::ended(id), 0}};
+    transaction.writes = {{keys::job(id), record, 0}};
+    context_.store.transaction(
+        RequestPriority::accept, std::move(transaction),
+        [this, request, id, record = std::move(record), tries](Ms at, const StoreResponse& r) {
             if (!is_open(request)) {
                 return;
             }
             if (r.status == 200) {
-                UserAnswer a;
+                UserResponse a;
                 a.code = 201;
                 a.id = id;
                 a.status = JobStatus::pending;
@@ -292,8 +294,8 @@
     if (!is_open(request)) {
         return;
     }
-    const JobView* job = core_.view.job(id);
-    if (core_.view.ended(id) || (job && job->record.cancelled)) {
+    const StoredJob* job = context_.replica.job(id);
+    if (context_.replica.ended(id) || (job && job->record.cancelled)) {
         tell_state(request, id, false);
         return;
     }
@@ -310,37 +312,38 @@
     }
     JobRecord record = job->record;
     record.cancelled = true;
-    Txn txn;
-    txn.conditions = {{keys::job(id), job->stamp}};
-    Json value = encode_job(record, core_.names);
-    if (value.dump().size() > core_.state.limits().value_bytes()) {
-        value = encode_cancelled_job(record.spec, core_.names);
+    Transaction transaction;
+    transaction.comparisons = {{keys::job(id), job->version}};
+    Json value = encode_job(record, context_.names);
+    if (value.dump().size() > context_.store.limits().value_bytes()) {
+        value = encode_cancelled_job(record.spec, context_.names);
     }
-    txn.writes = {{keys::job(id), std::move(value), 0}};
-    core_.state.txn(Urgency::cancel, std::move(txn),
-                    [this, request, id, tries](Ms at, const StateReply& r) {
-                        if (!is_open(request)) {
-                            return;
-                        }
-                        if (r.status == 200) {
-                            UserAnswer a;
-                            a.code = 200;
-                            a.id = id;
-                            a.status = JobStatus::cancelled;
-                            answer(request, std::move(a));
-                        } else if (r.status == 409 || r.status == 0) {
-                            // It changed meanwhile, or it is unknown whether it did: look again.
-                            keeper_.barrier(at, [this, request, id, tries](Ms then, bool ok) {
-                                if (ok) {
-                                    try_cancel(then, request, id, tries + 1);
-                                } else {
-                                    refuse(request, 503, "the state service does not answer");
-                                }
-                            });
-                        } else {
-                            refuse(request, 503, "the state service does not answer");
-                        }
-                    });
+    transaction.writes = {{keys::job(id), std::move(value), 0}};
+    context_.store.transaction(
+        RequestPriority::cancel, std::move(transaction),
+        [this, request, id, tries](Ms at, const StoreResponse& r) {
+            if (!is_open(request)) {
+                return;
+            }
+            if (r.status == 200) {
+                UserResponse a;
+                a.code = 200;
+                a.id = id;
+                a.status = JobStatus::cancelled;
+                answer(request, std::move(a));
+            } else if (r.status == 409 || r.status == 0) {
+                // It changed meanwhile, or it is unknown whether it did: look again.
+                watcher_.barrier(at, [this, request, id, tries](Ms then, bool ok) {
+                    if (ok) {
+                        try_cancel(then, request, id, tries + 1);
+                    } else {
+                        refuse(request, 503, "the state service does not answer");
+                    }
+                });
+            } else {
+                refuse(request, 503, "the state service does not answer");
+            }
+        });
 }
 
 }  // namespace walkford
--- a/src/coordination/user_requests.hpp
+++ b/src/coordination/user_requests.hpp
@@ -7,7 +7,8 @@
 
 class UserRequests {
   public:
-    UserRequests(Core& core, ViewKeeper& keeper) : core_(core), keeper_(keeper) {}
+    UserRequests(ControllerContext& context, StoreWatcher& watcher)
+        : context_(context), watcher_(watcher) {}
 
     void submit(Ms now, SubmitRequest request);
     void poll(Ms now, const PollRequest& request);
@@ -20,7 +21,7 @@
         std::string id;
         Ms until = 0;
     };
-    void answer(RequestId request, UserAnswer a);
+    void answer(RequestId request, UserResponse a);
     void refuse(RequestId request, int code, const std::string& error, int retry_after = 1);
     void tell_state(RequestId request, const std::string& id, bool polled);
     // After a proven reading, and a look at the ended ones: is the job known or not?
@@ -35,8 +36,8 @@
     void try_cancel(Ms now, RequestId request, const std::string& id, int tries);
     bool is_open(RequestId request) const { return open_.count(request) != 0; }
 
-    Core& core_;
-    ViewKeeper& keeper_;
+    ControllerContext& context_;
+    StoreWatcher& watcher_;
     std::unordered_map<RequestId, Open> open_;
 };
 
--- a/src/coordination/view_keeper.cpp
+++ b/src/coordination/view_keeper.cpp
@@ -8,8 +8,9 @@
 // Ended jobs are not read at the start: they are looked up when asked for.
 const std::array<std::string, 9>& reading_prefixes() {
     static const std::array<std::string, 9> prefixes{
-        keys::kLeader, keys::kRegistry,    keys::kRegistryParts, keys::kKinds, keys::kAnnouncements,
-        keys::kRelays, keys::kZoneRecords, keys::kJobs,          keys::kTasks};
+        keys::kLeader,       keys::kRegistry,      keys::kRegistryParts,
+        keys::kMachineTypes, keys::kAnnouncements, keys::kRelays,
+        keys::kZoneRecords,  keys::kJobs,          keys::kTasks};
     return prefixes;
 }
 constexpr Ms kWatchFor = 20000;
@@ -17,7 +18,7 @@
 constexpr Ms kBarrierSpacing = 25;
 }  // namespace
 
-void ViewKeeper::tick(Ms now) {
+void StoreWatcher::tick(Ms now) {
     if (!ready_ && !reading_ && now >= read_at_) {
         start_reading(now);
     }
@@ -29,7 +30,7 @@
     }
 }
 
-Ms ViewKeeper::due() const {
+Ms StoreWatcher::due() const {
     if (!ready_) {
         return reading_ ? kNever : read_at_;
     }
@@ -40,7 +41,7 @@
     return due;
 }
 
-void ViewKeeper::start_reading(Ms now) {
+void StoreWatcher::start_reading(Ms now) {
     reading_ = true;
     ready_ = false;
     watching_ = false;
@@ -48,17 +49,17 @@
     read_prefix_ = 0;
     read_after_.clear();
     read_revision_.reset();
-    core_.view.begin_reading();
+    context_.replica.begin_reading();
     read_next(now);
 }
 
-void ViewKeeper::read_next(Ms) {
-    core_.state.list(
+void StoreWatcher::read_next(Ms) {
+    context_.store.list(
         reading_prefixes().at(read_prefix_), read_after_,
-        [this](Ms now, const StateReply& r) {
+        [this](Ms now, const StoreResponse& r) {
             if (r.status != 200) {
                 reading_ = false;
-                read_at_ = now + 200 + core_.jitter(200);
+                read_at_ = now + 200 + context_.jitter(200);
                 return;
             }
             // Pages are read one after the other; changes are followed from before the first.
@@ -67,8 +68,8 @@
             if (!read_revision_) {
                 read_revision_ = r.revision;
             }
-            for (const StateRow& row : r.rows) {
-                core_.view.apply(row);
+            for (const StoreEntry& row : r.rows) {
+                context_.replica.apply(row);
             }
             if (r.more && !r.rows.empty()) {
                 read_after_ = r.rows.back().key;
@@ -80,27 +81,27 @@
                 read_next(now);
                 return;
             }
-            core_.view.end_reading(*read_revision_);
+            context_.replica.end_reading(*read_revision_);
             reading_ = false;
             ready_ = true;
-            spdlog::info("state read: {} live jobs, revision {}", core_.view.jobs().size(),
-                         core_.view.revision());
+            spdlog::info("state read: {} live jobs, revision {}", context_.replica.jobs().size(),
+                         context_.replica.revision());
             if (on_change) {
                 on_change(now, "");
             }
             watch(now);
         },
-        core_.out);
+        context_.out);
 }
 
-void ViewKeeper::apply(Ms now, const StateReply& r) {
+void StoreWatcher::apply(Ms now, const StoreResponse& r) {
     std::vector<std::string> changed;
-    for (const StateRow& row : r.rows) {
-        if (core_.view.apply(row)) {
+    for (const StoreEntry& row : r.rows) {
+        if (context_.replica.apply(row)) {
             changed.push_back(row.key);
         }
     }
-    core_.view.advance(r.revision);
+    context_.replica.advance(r.revision);
     if (!on_change) {
         return;
     }
@@ -109,11 +110,11 @@
     }
 }
 
-void ViewKeeper::watch(Ms) {
+void StoreWatcher::watch(Ms) {
     watching_ = true;
-    core_.state.changes(
-        core_.view.revision(), kWatchFor,
-        [this, reading = readings_](Ms now, const StateReply& r) {
+    context_.store.changes(
+        context_.replica.revision(), kWatchFor,
+        [this, reading = readings_](Ms now, const StoreResponse& r) {
             if (reading != readings_) {
                 return;
             }
@@ -127,13 +128,13 @@
                 read_at_ = now;
                 fail_waiting(now);
             } else {
-                watch_at_ = now + 250 + core_.jitter(250);
+                watch_at_ = now + 250 + context_.jitter(250);
             }
         },
-        core_.out);
+        context_.out);
 }
 
-void ViewKeeper::barrier(Ms now, Proven then) {
+void StoreWatcher::barrier(Ms now, BarrierCallback then) {
     if (!ready_) {
         then(now, false);
         return;
@@ -144,34 +145,34 @@
     }
 }
 
-void ViewKeeper::start_barrier(Ms now) {
+void StoreWatcher::start_barrier(Ms now) {
     barrier_open_ = true;
     barrier_sent_ = now;
-    auto served = std::make_shared<std::vector<Proven>>(std::move(waiting_));
+    auto served = std::make_shared<std::vector<BarrierCallback>>(std::move(waiting_));
     waiting_.clear();
-    core_.state.changes(
-        core_.view.revision(), 0,
-        [this, served, sent = now, reading = readings_](Ms at, const StateReply& r) {
+    context_.store.changes(
+        context_.replica.revision(), 0,
+        [this, served, sent = now, reading = readings_](Ms at, const StoreResponse& r) {
             barrier_open_ = false;
             bool ok = r.status == 200 && ready_ && reading == readings_;
             if (ok) {
                 apply(at, r);
-                proven_at_ = std::max(proven_at_, sent);
+                confirmed_at_ = std::max(confirmed_at_, sent);
             } else if (r.status == 410 && ready_ && reading == readings_) {
                 ready_ = false;
                 read_at_ = at;
             }
-            for (Proven& then : *served) {
+            for (BarrierCallback& then : *served) {
                 then(at, ok);
             }
         },
-        core_.out);
+        context_.out);
 }
 
-void ViewKeeper::fail_waiting(Ms now) {
+void StoreWatcher::fail_waiting(Ms now) {
     auto served = std::move(waiting_);
     waiting_.clear();
-    for (Proven& then : served) {
+    for (BarrierCallback& then : served) {
         then(now, false);
     }
 }
--- a/src/coordination/view_keeper.hpp
+++ b/src/coordination/view_keeper.hpp
@@ -5,22 +5,22 @@
 
 namespace walkford {
 
-class ViewKeeper {
+class StoreWatcher {
   public:
-    using Proven = std::function<void(Ms, bool)>;
-    explicit ViewKeeper(Core& core) : core_(core) {}
+    using BarrierCallback = std::function<void(Ms, bool)>;
+    explicit StoreWatcher(ControllerContext& context) : context_(context) {}
 
     void tick(Ms now);
     // Calls back once the view is at least as new as this moment, or with false when that can't be
     // had now. One reading serves all that wait.
-    void barrier(Ms now, Proven then);
+    void barrier(Ms now, BarrierCallback then);
     bool ready() const { return ready_; }
     // How long the next watch waits once one has brought changes.
     void set_watch_spacing(Ms spacing) { watch_spacing_ = spacing; }
     // When there is something to do without an answer coming in before.
     Ms due() const;
     // The view held everything that had happened by then.
-    Ms proven_at() const { return proven_at_; }
+    Ms confirmed_at() const { return confirmed_at_; }
 
     std::function<void(Ms, const std::string& key)> on_change;
 
@@ -29,10 +29,10 @@
     void read_next(Ms now);
     void watch(Ms now);
     void start_barrier(Ms now);
-    void apply(Ms now, const StateReply& r);
+    void apply(Ms now, const StoreResponse& r);
     void fail_waiting(Ms now);
 
-    Core& core_;
+    ControllerContext& context_;
     bool ready_ = false;
     bool reading_ = false;
     std::size_t read_prefix_ = 0;
@@ -47,8 +47,8 @@
     Ms watch_spacing_ = 0;
     bool barrier_open_ = false;
     Ms barrier_sent_ = -1000;
-    Ms proven_at_ = -1;
-    std::vector<Proven> waiting_;
+    Ms confirmed_at_ = -1;
+    std::vector<BarrierCallback> waiting_;
 };
 
 }  // namespace walkford
--- a/src/coordination/zone_failover/displaced_work.cpp
+++ b/src/coordination/zone_failover/displaced_work.cpp
@@ -6,13 +6,14 @@
 
 EvacuationOrder::EvacuationOrder(const ZoneFailoverSettings& settings, Names& names) {
     for (const std::string& job_class : settings.order) {
-        ranks_.emplace(names.lanes.intern(job_class), static_cast<int>(ranks_.size()));
+        positions_.emplace(names.job_classes.intern(job_class),
+                           static_cast<int>(positions_.size()));
     }
 }
 
-int EvacuationOrder::rank(Id job_class) const {
-    auto it = ranks_.find(job_class);
-    return it == ranks_.end() ? last_rank() : it->second;
+int EvacuationOrder::evacuation_position(Id job_class) const {
+    auto it = positions_.find(job_class);
+    return it == positions_.end() ? last_position() : it->second;
 }
 
 bool DisplacedWork::known(const ClusterState& cluster, Id job, const Entry& entry) const {
@@ -32,8 +33,8 @@
         --old.open;
         ++old.ended;
     }
-    jobs_[job] = {spec.id, zone, spec.lane, now};
-    Tally& tally = tallies_[{zone, spec.lane}];
+    jobs_[job] = {spec.id, zone, spec.job_class, now};
+    Tally& tally = tallies_[{zone, spec.job_class}];
     if (tally.open == 0 && tally.run_again == 0 && tally.ended == 0) {
         tally.since = now;
     }
@@ -50,8 +51,9 @@
     return it != jobs_.end() && known(cluster, job, it->second);
 }
 
-int DisplacedWork::rank(const ClusterState& cluster, Id job) const {
-    return contains(cluster, job) ? order_.rank(cluster.jobs[job].spec.lane) : order_.last_rank();
+int DisplacedWork::evacuation_position(const ClusterState& cluster, Id job) const {
+    return contains(cluster, job) ? order_.evacuation_position(cluster.jobs[job].spec.job_class)
+                                  : order_.last_position();
 }
 
 Ms DisplacedWork::since(const ClusterState& cluster, Id job) const {
@@ -69,7 +71,8 @@
         list.push_back(job);
     }
     std::stable_sort(list.begin(), list.end(), [this](Id a, Id b) {
-        return order_.rank(jobs_.at(a).job_class) < order_.rank(jobs_.at(b).job_class);
+        return order_.evacuation_position(jobs_.at(a).job_class) <
+               order_.evacuation_position(jobs_.at(b).job_class);
     });
     return list;
 }
@@ -78,14 +81,14 @@
 // are placed run.
 bool DisplacedWork::runs_again(const ClusterState& cluster, Id job, Id lost_zone) {
     const Job& j = cluster.jobs[job];
-    if (j.zones.count(lost_zone) > 0 || !j.again.empty() || j.placed == 0) {
+    if (j.zones.count(lost_zone) > 0 || !j.retry_queue.empty() || j.assigned == 0) {
         return false;
     }
-    for (const auto& chunk : j.chunks) {
-        if (!chunk) {
+    for (const auto& record : j.placement_records) {
+        if (!record) {
             continue;
         }
-        bool all_run = std::all_of(chunk->tasks.begin(), chunk->tasks.end(), [](const Task& t) {
+        bool all_run = std::all_of(record->tasks.begin(), record->tasks.end(), [](const Task& t) {
             return t.machine == kNone || t.state == TaskState::running;
         });
         if (!all_run) {
@@ -95,8 +98,8 @@
     return true;
 }
 
-std::vector<DisplacedWork::ClassDone> DisplacedWork::settle(Ms now, ClusterState& cluster,
-                                                            const std::set<Id>& failing) {
+std::vector<DisplacedWork::ClassDone> DisplacedWork::collect_finished(Ms now, ClusterState& cluster,
+                                                                      const std::set<Id>& failing) {
     std::vector<ClassDone> settled;
     for (auto it = jobs_.begin(); it != jobs_.end();) {
         const auto& [job, entry] = *it;
--- a/src/coordination/zone_failover/displaced_work.hpp
+++ b/src/coordination/zone_failover/displaced_work.hpp
@@ -15,12 +15,12 @@
 class EvacuationOrder {
   public:
     EvacuationOrder(const ZoneFailoverSettings& settings, Names& names);
-    int rank(Id job_class) const;
+    int evacuation_position(Id job_class) const;
     // The rank of displaced work of no named class, and of all that was not displaced.
-    int last_rank() const { return static_cast<int>(ranks_.size()); }
+    int last_position() const { return static_cast<int>(positions_.size()); }
 
   private:
-    std::map<Id, int> ranks_;
+    std::map<Id, int> positions_;
 };
 
 class DisplacedWork {
@@ -37,7 +37,7 @@
     bool empty() const { return jobs_.empty(); }
     std::size_t size() const { return jobs_.size(); }
     // The rank of its class, or the last one if it was not displaced.
-    int rank(const ClusterState& cluster, Id job) const;
+    int evacuation_position(const ClusterState& cluster, Id job) const;
     // When it was displaced; -1: it was not.
     Ms since(const ClusterState& cluster, Id job) const;
 
@@ -51,7 +51,8 @@
         Ms took = 0;
     };
     // `failing`: zones that are still not well; what runs in one that is back runs again.
-    std::vector<ClassDone> settle(Ms now, ClusterState& cluster, const std::set<Id>& failing);
+    std::vector<ClassDone> collect_finished(Ms now, ClusterState& cluster,
+                                            const std::set<Id>& failing);
 
     const EvacuationOrder& order() const { return order_; }
     // The displaced jobs, most urgent class first.
--- a/src/coordination/zone_failover/zone_evidence.hpp
+++ b/src/coordination/zone_failover/zone_evidence.hpp
@@ -12,7 +12,7 @@
     std::uint32_t controllers = 0;        // that the settings place in the zone ...
     std::uint32_t controllers_heard = 0;  // ... and that are heard
     bool relayed = false;                 // a controller inside answers its workers: a cut
-    bool rental_refused = false;          // the cloud refused a rental there lately
+    bool scale_out_refused = false;       // the cloud refused a rental there lately
     bool others_heard = true;             // machines of other zones report
     // The observer's own lease and view are proven, and it has led for long enough to judge.
     bool conclusive = true;
--- a/src/coordination/zone_failover/zone_health.cpp
+++ b/src/coordination/zone_failover/zone_health.cpp
@@ -9,7 +9,7 @@
     if (e.relayed) {
         text += ", its workers are answered inside";
     }
-    if (e.rental_refused) {
+    if (e.scale_out_refused) {
         text += ", a rental there was refused";
     }
     if (!e.others_heard) {
@@ -78,7 +78,7 @@
 
 Ms ZoneHealth::time_to_confirm(const ZoneEvidence& evidence) const {
     Ms span = to_ms(settings_->confirm_s);
-    if (evidence.controllers_heard > 0 && !evidence.rental_refused) {
+    if (evidence.controllers_heard > 0 && !evidence.scale_out_refused) {
         span *= 2;
     }
     // It may be the observer that is cut off.
--- a/src/coordination/zone_failover_manager.cpp
+++ b/src/coordination/zone_failover_manager.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 constexpr Ms kObserveEvery = 500;
-constexpr Ms kProofFresh = 3000;  // the view is proven each second while the service answers
+constexpr Ms kConfirmationFresh = 3000;  // the view is proven each second while the service answers
 constexpr Ms kControllerHeard = 5000;
 constexpr Ms kTakenCounts = 30000;        // a machine taken for silent counts as such for so long
 constexpr Ms kInterruptedLately = 60000;  // work lost before its zone was under suspicion
@@ -24,13 +24,13 @@
 double seconds(Ms span) { return static_cast<double>(span) / 1000.0; }
 }  // namespace
 
-ZoneFailoverManager::ZoneFailoverManager(Term& term)
-    : term_(term),
-      settings_(term.core.policy.zone_failover),
-      displaced_(EvacuationOrder(settings_, term.core.names)) {
-    for (const std::string& name : term.core.platform.zones) {
+ZoneFailoverManager::ZoneFailoverManager(LeaderContext& context)
+    : context_(context),
+      settings_(context.controller.operator_settings.zone_failover),
+      displaced_(EvacuationOrder(settings_, context.controller.names)) {
+    for (const std::string& name : context.controller.platform_settings.zones) {
         // (One that is named twice has one id.)
-        if (term.core.names.zones.find(name) == zones_.size()) {
+        if (context.controller.names.zones.find(name) == zones_.size()) {
             zones_.emplace_back(settings_);
             zones_.back().name = name;
         }
@@ -39,13 +39,14 @@
 }
 
 // A new leader has yet to be found by the machines.
-Ms ZoneFailoverManager::settled_at() const {
+Ms ZoneFailoverManager::judging_since() const {
     constexpr Ms kFindLeader = 3000;
-    return term_.elected_at + to_ms(2 * term_.core.platform.report_s) + kFindLeader;
+    return context_.elected_at + to_ms(2 * context_.controller.platform_settings.report_s) +
+           kFindLeader;
 }
 
 bool ZoneFailoverManager::active() const {
-    return settings_.enabled && term_.core.may_write(kFeatureZoneFailover);
+    return settings_.enabled && context_.controller.may_write(kFeatureZoneFailover);
 }
 
 void ZoneFailoverManager::tick(Ms now, const WorkerManager& workers, const CloudManager& cloud) {
@@ -67,7 +68,7 @@
             write(now, zone);
         }
     }
-    settle(now);
+    end_observation(now);
 }
 
 // ---- records
@@ -84,12 +85,12 @@
 }
 
 void ZoneFailoverManager::load_zone(Ms now, Zone& zone) {
-    const auto& stored = term_.core.view.zone_records;
+    const auto& stored = context_.controller.replica.zone_records;
     auto it = stored.find(zone.name);
     if (it == stored.end()) {
         return;
     }
-    zone.stamp = it->second.stamp;
+    zone.version = it->second.version;
     auto record = decode_zone(it->second.value);
     if (!record) {
         spdlog::warn("zone {}: its record can't be read, it is taken as up", zone.name);
@@ -108,7 +109,7 @@
 }
 
 bool ZoneFailoverManager::write_due(Ms now, Zone& zone) {
-    if (zone.writing || now < zone.write_at || !term_.act) {
+    if (zone.writing || now < zone.write_at || !context_.holds_lease) {
         return false;
     }
     ZoneRecord wanted = zone.health.record(now);
@@ -137,30 +138,30 @@
     if (record.state == ZoneState::up && record.penalty < kPenaltyForgotten) {
         record.penalty = 0;
     }
-    const auto& stored = term_.core.view.zone_records;
+    const auto& stored = context_.controller.replica.zone_records;
     if (auto it = stored.find(zone.name); it != stored.end()) {
-        zone.stamp = std::max(zone.stamp, it->second.stamp);
+        zone.version = std::max(zone.version, it->second.version);
     }
-    Txn txn;
+    Transaction transaction;
     std::string key = keys::zone_record(zone.name);
-    txn.conditions = {{keys::kLeader, term_.token}, {key, zone.stamp}};
-    txn.writes = {{key, encode_zone(record), 0}};
+    transaction.comparisons = {{keys::kLeader, context_.fencing_token}, {key, zone.version}};
+    transaction.writes = {{key, encode_zone(record), 0}};
     zone.writing = true;
-    term_.core.state.txn(Urgency::leadership, std::move(txn),
-                         [this, alive = std::weak_ptr<bool>(term_.alive), id, record](
-                             Ms at, const StateReply& reply) {
-                             if (!alive.expired()) {
-                                 written(at, id, record, reply);
-                             }
-                         });
+    context_.controller.store.transaction(RequestPriority::leadership, std::move(transaction),
+                                          [this, alive = std::weak_ptr<bool>(context_.alive), id,
+                                           record](Ms at, const StoreResponse& reply) {
+                                              if (!alive.expired()) {
+                                                  written(at, id, record, reply);
+                                              }
+                                          });
 }
 
 void ZoneFailoverManager::written(Ms now, Id id, const ZoneRecord& record,
-                                  const StateReply& reply) {
+                                  const StoreResponse& reply) {
     Zone& zone = zones_[id];
     zone.writing = false;
     if (reply.status == 200) {
-        zone.stamp = reply.revision;
+        zone.version = reply.revision;
         zone.rewrite = false;
         zone.written_at = now;
         act_on(now, id, record);
@@ -168,8 +169,8 @@
     }
     zone.write_at = now + kRetry;
     // An earlier copy of ours may have got there: the view shows its stamp.
-    if (reply.status == 409 && !term_.deposed_by(now, reply)) {
-        term_.refresh(now);
+    if (reply.status == 409 && !context_.deposed_by(now, reply)) {
+        context_.refresh(now);
     }
 }
 
@@ -187,8 +188,8 @@
     if (record.state == ZoneState::lost) {
         tell_loss(id);
     }
-    term_.place_now = true;
-    term_.rent_now = true;
+    context_.place_now = true;
+    context_.scale_out_now = true;
 }
 
 bool ZoneFailoverManager::failing(Id zone) const {
@@ -202,24 +203,24 @@
 // ---- evidence
 
 bool ZoneFailoverManager::expects_report(const Machine& m, Ms now) const {
-    if (!m.held || m.sick) {
+    if (!m.registered || m.quarantined) {
         return false;
     }
     // One that an earlier leader used, or that the cloud lists as running, has a worker that should
     // have found this leader by now.
     bool was_up = m.cloud == CloudStatus::running || !m.tasks.empty();
-    return m.reported || (!m.rented_now && was_up && now > settled_at());
+    return m.reported || (!m.requested_by_this_leader && was_up && now > judging_since());
 }
 
 ZoneFailoverManager::Hearing ZoneFailoverManager::hear(Ms now, const Machine& m,
                                                        MachineWatch& watch,
                                                        const WorkerManager& workers) const {
-    bool leaves = m.gone || m.returning;
+    bool leaves = m.terminated || m.releasing;
     if (leaves && !watch.left) {
         watch.left = true;
         // Given back for its silence; or taken unannounced, also before it could find this leader.
-        bool unmet = !m.reported && !m.rented_now;
-        bool taken = m.returning ? watch.last == Hearing::silent
+        bool unmet = !m.reported && !m.requested_by_this_leader;
+        bool taken = m.releasing ? watch.last == Hearing::silent
                                  : watch.last != Hearing::not_expected || unmet;
         watch.taken_at = taken ? now : -1;
     }
@@ -227,16 +228,16 @@
         bool counts = watch.taken_at >= 0 && now < watch.taken_at + kTakenCounts;
         return counts ? Hearing::silent : Hearing::not_expected;
     }
-    bool heard = workers.heard_lately(m, now);
+    bool heard = workers.reported_recently(m, now);
     // One that the cloud has said it takes says nothing of its zone.
-    watch.noticed = m.notice_until >= 0 || (watch.noticed && !heard);
+    watch.noticed = m.reclaim_at >= 0 || (watch.noticed && !heard);
     bool expected = expects_report(m, now) && !watch.noticed;
     watch.last = !expected ? Hearing::not_expected : heard ? Hearing::heard : Hearing::silent;
     return watch.last;
 }
 
 void ZoneFailoverManager::observe_machines(Ms now, const WorkerManager& workers) {
-    const ClusterState& cluster = term_.cluster;
+    const ClusterState& cluster = context_.cluster;
     watches_.resize(cluster.machines.size());
     for (Id id = 0; id < cluster.machines.size(); ++id) {
         const Machine& m = cluster.machines[id];
@@ -251,24 +252,25 @@
 }
 
 void ZoneFailoverManager::observe_controllers(Ms now) {
-    const Platform& platform = term_.core.platform;
+    const PlatformSettings& platform_settings = context_.controller.platform_settings;
     for (Zone& zone : zones_) {
-        bool own = platform.zone == zone.name;
+        bool own = platform_settings.zone == zone.name;
         zone.evidence.controllers = own;
         zone.evidence.controllers_heard = own;
-        for (std::size_t i = 0; i < platform.peers.size(); ++i) {
-            if (platform.peers[i].zone != zone.name) {
+        for (std::size_t i = 0; i < platform_settings.peers.size(); ++i) {
+            if (platform_settings.peers[i].zone != zone.name) {
                 continue;
             }
             ++zone.evidence.controllers;
             zone.evidence.controllers_heard +=
-                term_.peer_heard && term_.peer_heard(now, i, kControllerHeard);
+                context_.peer_heard && context_.peer_heard(now, i, kControllerHeard);
         }
     }
 }
 
 void ZoneFailoverManager::observe(Ms now, const WorkerManager& workers, const CloudManager& cloud) {
-    bool conclusive = term_.act && now > settled_at() && term_.proven_until >= now - kProofFresh;
+    bool conclusive = context_.holds_lease && now > judging_since() &&
+                      context_.view_confirmed_until >= now - kConfirmationFresh;
     for (Zone& zone : zones_) {
         zone.evidence = {};
         zone.evidence.conclusive = conclusive;
@@ -281,8 +283,8 @@
     }
     for (Id id = 0; id < zones_.size(); ++id) {
         ZoneEvidence& evidence = zones_[id].evidence;
-        evidence.relayed = term_.core.view.relayed(zones_[id].name);
-        evidence.rental_refused = cloud.refused_lately(id, now);
+        evidence.relayed = context_.controller.replica.relayed(zones_[id].name);
+        evidence.scale_out_refused = cloud.refused_lately(id, now);
         evidence.others_heard = heard > evidence.machines - evidence.silent_machines;
     }
 }
@@ -315,10 +317,10 @@
 
 // With `workers`, only what stands on machines that are silent.
 void ZoneFailoverManager::mark_displaced(Ms now, Id zone, const WorkerManager* workers) {
-    const ClusterState& cluster = term_.cluster;
+    const ClusterState& cluster = context_.cluster;
     for (const Machine& m : cluster.machines) {
-        bool silent = !workers || !workers->heard_lately(m, now);
-        if (m.gone || m.zone != zone || !silent) {
+        bool silent = !workers || !workers->reported_recently(m, now);
+        if (m.terminated || m.zone != zone || !silent) {
             continue;
         }
         for (TaskRef ref : m.tasks) {
@@ -333,7 +335,8 @@
         const Job& job = cluster.jobs[id];
         bool lately = job.interrupted_in == zone && job.interrupted_at >= 0 &&
                       now < job.interrupted_at + kInterruptedLately;
-        if (lately && job.alive && !job.cancelled && !job.again.empty() && job.spec.zone != zone) {
+        if (lately && job.alive && !job.cancelled && !job.retry_queue.empty() &&
+            job.spec.zone != zone) {
             displaced_.mark(now, cluster, id, zone);
         }
     }
@@ -341,12 +344,13 @@
 
 // Work that an earlier leader had already taken off the lost zone: it was started once and waits.
 void ZoneFailoverManager::mark_interrupted(Ms now, Id zone) {
-    const ClusterState& cluster = term_.cluster;
+    const ClusterState& cluster = context_.cluster;
     for (Id id = 0; id < cluster.jobs.size(); ++id) {
         const Job& job = cluster.jobs[id];
-        bool started = std::any_of(job.again.begin(), job.again.end(), [&](std::uint32_t task) {
-            return term_.cluster.task({id, task}).attempt > 0;
-        });
+        bool started =
+            std::any_of(job.retry_queue.begin(), job.retry_queue.end(), [&](std::uint32_t task) {
+                return context_.cluster.task({id, task}).attempt > 0;
+            });
         if (job.alive && !job.cancelled && job.spec.zone != zone && started) {
             displaced_.mark(now, cluster, id, zone);
         }
@@ -354,14 +358,14 @@
 }
 
 void ZoneFailoverManager::tell_loss(Id id) const {
-    const ClusterState& cluster = term_.cluster;
+    const ClusterState& cluster = context_.cluster;
     std::map<Id, std::uint32_t> by_class;
     for (Id job : displaced_.jobs()) {
-        by_class[cluster.jobs[job].spec.lane] += displaced_.zone_of(job) == id;
+        by_class[cluster.jobs[job].spec.job_class] += displaced_.zone_of(job) == id;
     }
     std::string list;
     for (const auto& [job_class, count] : by_class) {
-        std::string name = job_class == kNone ? "-" : cluster.names.lanes.name(job_class);
+        std::string name = job_class == kNone ? "-" : cluster.names.job_classes.name(job_class);
         list += fmt::format(" {}:{}", name, count);
     }
     auto bound = std::count_if(cluster.jobs.begin(), cluster.jobs.end(), [id](const Job& job) {
@@ -371,16 +375,18 @@
                  zones_[id].name, list.empty() ? " none" : list, bound);
 }
 
-void ZoneFailoverManager::settle(Ms now) {
+void ZoneFailoverManager::end_observation(Ms now) {
     std::set<Id> not_well;
     for (Id zone = 0; zone < zones_.size(); ++zone) {
         if (failing(zone)) {
             not_well.insert(zone);
         }
     }
-    for (const DisplacedWork::ClassDone& done : displaced_.settle(now, term_.cluster, not_well)) {
-        std::string name =
-            done.job_class == kNone ? "-" : term_.core.names.lanes.name(done.job_class);
+    for (const DisplacedWork::ClassDone& done :
+         displaced_.collect_finished(now, context_.cluster, not_well)) {
+        std::string name = done.job_class == kNone
+                               ? "-"
+                               : context_.controller.names.job_classes.name(done.job_class);
         spdlog::info("zone {}: displaced work of {} runs again, {} jobs after {:.1f} s{}",
                      zones_[done.zone].name, name, done.run_again, seconds(done.took),
                      done.ended > 0 ? fmt::format(", {} ended meanwhile", done.ended) : "");
@@ -394,59 +400,60 @@
     }
 }
 
-int ZoneFailoverManager::rank(Id job) const {
-    return evacuating_ ? displaced_.rank(term_.cluster, job) : displaced_.order().last_rank();
+int ZoneFailoverManager::evacuation_position(Id job) const {
+    return evacuating_ ? displaced_.evacuation_position(context_.cluster, job)
+                       : displaced_.order().last_position();
 }
 
 Ms ZoneFailoverManager::waits_since(Id job) const {
-    Ms since = term_.cluster.jobs[job].waiting_since;
-    return evacuating_ ? std::max(since, displaced_.since(term_.cluster, job)) : since;
+    Ms since = context_.cluster.jobs[job].waiting_since;
+    return evacuating_ ? std::max(since, displaced_.since(context_.cluster, job)) : since;
 }
 
 // ---- placing
 
-void ZoneFailoverManager::begin_round(Ms now, const FreeCapacity& rooms) {
+void ZoneFailoverManager::begin_round(Ms now, const FreeCapacity& free_capacity) {
     now_ = now;
     reserve_.clear();
     if (!restricts_ && !evacuating_) {
         return;
     }
     for (Id zone = 0; zone < zones_.size(); ++zone) {
-        build_gate(now, zone, rooms);
+        build_gate(now, zone, free_capacity);
     }
-    build_reserve(now, rooms);
+    build_reserve(now, free_capacity);
 }
 
-void ZoneFailoverManager::build_gate(Ms now, Id zone, const FreeCapacity& rooms) {
+void ZoneFailoverManager::build_gate(Ms now, Id zone, const FreeCapacity& free_capacity) {
     Gate& gate = gates_[zone];
     gate = {};
     gate.state = acted_on(zone);
     if (gate.state == ZoneState::up || gate.state == ZoneState::suspect) {
         return;
     }
-    Amounts capacity;
-    Amounts booked;
-    for (const FreeCapacity::Sort& sort : rooms.sorts()) {
-        if (sort.zone != zone) {
+    Resources capacity;
+    Resources allocated;
+    for (const FreeCapacity::MachineGroup& machine_group : free_capacity.groups()) {
+        if (machine_group.zone != zone) {
             continue;
         }
-        for (const FreeCapacity::Room& room : sort.rooms) {
-            const Machine& machine = term_.cluster.machines[room.machine];
-            capacity += sort.size;
-            booked += machine.used;
+        for (const FreeCapacity::MachineCapacity& free : machine_group.machines) {
+            const Machine& machine = context_.cluster.machines[free.machine];
+            capacity += machine_group.size;
+            allocated += machine.used;
             count_starting(gate, machine);
         }
     }
     RecoveryRamp ramp(settings_, zones_[zone].durable.failed_ramps);
     double share = gate.state == ZoneState::returning ? ramp.share(now - zones_[zone].durable_since)
                                                       : ramp.first_share();
-    gate.room = capacity * share - booked;
-    gate.first = booked.cpus <= 0 && booked.gpus <= 0 && booked.ram <= 0;
+    gate.capacity = capacity * share - allocated;
+    gate.first = allocated.cpus <= 0 && allocated.gpus <= 0 && allocated.ram <= 0;
 }
 
 void ZoneFailoverManager::count_starting(Gate& gate, const Machine& machine) {
-    ClusterState& cluster = term_.cluster;
-    gate.fetches += static_cast<std::uint32_t>(cluster.images_on_their_way(machine));
+    ClusterState& cluster = context_.cluster;
+    gate.fetches += static_cast<std::uint32_t>(cluster.image_fetches_in_progress(machine));
     for (TaskRef ref : machine.tasks) {
         bool starts = cluster.task(ref).state != TaskState::running;
         if (cluster.jobs[ref.job].spec.service() && starts) {
@@ -456,39 +463,40 @@
     }
 }
 
-void ZoneFailoverManager::build_reserve(Ms now, const FreeCapacity& rooms) {
-    bool held = false;
+void ZoneFailoverManager::build_reserve(Ms now, const FreeCapacity& free_capacity) {
+    bool hold = false;
     for (Id zone = 0; zone < zones_.size(); ++zone) {
-        held =
-            held || (failing(zone) && now < zones_[zone].failing_since + to_ms(settings_.hold_s));
+        hold =
+            hold || (failing(zone) && now < zones_[zone].failing_since + to_ms(settings_.hold_s));
     }
-    if (!held || !evacuating_) {
+    if (!hold || !evacuating_) {
         return;
     }
-    const ClusterState& cluster = term_.cluster;
+    const ClusterState& cluster = context_.cluster;
     for (Id id : displaced_.jobs()) {
-        int class_rank = displaced_.rank(cluster, id);
+        int class_position = displaced_.evacuation_position(cluster, id);
         const Job& job = cluster.jobs[id];
-        if (class_rank == displaced_.order().last_rank() || job.cancelled) {
+        if (class_position == displaced_.order().last_position() || job.cancelled) {
             continue;
         }
         auto leaving = job.zones.find(displaced_.zone_of(id));
         std::uint32_t tasks = leaving == job.zones.end() ? 0 : leaving->second;
-        tasks += std::min(static_cast<std::uint32_t>(job.again.size()),
-                          cluster.limit_room(job.spec.team, job.spec.each));
+        tasks += std::min(static_cast<std::uint32_t>(job.retry_queue.size()),
+                          cluster.quota_headroom(job.spec.team, job.spec.each));
         if (tasks > 0) {
-            reserve_.claim(job.spec, static_cast<int>(job.spec.priority), class_rank, tasks);
+            reserve_.claim(job.spec, static_cast<int>(job.spec.priority), class_position, tasks);
         }
     }
     if (reserve_.empty()) {
         return;
     }
-    for (const FreeCapacity::Sort& sort : rooms.sorts()) {
-        if (!open(sort.zone)) {
+    for (const FreeCapacity::MachineGroup& machine_group : free_capacity.groups()) {
+        if (!open(machine_group.zone)) {
             continue;
         }
-        for (const FreeCapacity::Room& room : sort.rooms) {
-            reserve_.count({sort.kind, sort.zone, sort.spot, room.free});
+        for (const FreeCapacity::MachineCapacity& capacity : machine_group.machines) {
+            reserve_.count({machine_group.machine_type, machine_group.zone, machine_group.spot,
+                            capacity.free});
         }
     }
 }
@@ -508,7 +516,7 @@
         return true;
     }
     const Gate& gate = gates_[zone];
-    const Job& job = term_.cluster.jobs[id];
+    const Job& job = context_.cluster.jobs[id];
     if (job.spec.service() &&
         (gate.replicas_starting >= settings_.replicas || gate.jobs_starting.count(id) > 0)) {
         return false;
@@ -519,9 +527,9 @@
     if (gate.state == ZoneState::lost && !bound_to(job, zone)) {
         return false;
     }
-    std::uint32_t together = job.spec.gang() ? job.spec.tasks - job.placed : 1;
-    Amounts wanted = job.spec.each * static_cast<double>(together);
-    return gate.first || wanted.fits_in(gate.room);
+    std::uint32_t together = job.spec.gang() ? job.spec.tasks - job.assigned : 1;
+    Resources wanted = job.spec.each * static_cast<double>(together);
+    return gate.first || wanted.fits_in(gate.capacity);
 }
 
 bool ZoneFailoverManager::admits_fetch(Id zone, int fetches) const {
@@ -538,26 +546,27 @@
     if (reserve_.empty()) {
         return false;
     }
-    const Job& j = term_.cluster.jobs[job];
-    return reserve_.blocks(j.spec.each, priority, displaced_.rank(term_.cluster, job), place);
+    const Job& j = context_.cluster.jobs[job];
+    return reserve_.blocks(j.spec.each, priority,
+                           displaced_.evacuation_position(context_.cluster, job), place);
 }
 
 void ZoneFailoverManager::placed(Id id, const EvacuationReserve::Place& place, bool fetches) {
     if (!restricts_ && reserve_.empty()) {
         return;
     }
-    const Job& job = term_.cluster.jobs[id];
+    const Job& job = context_.cluster.jobs[id];
     reserve_.take(job.spec.each, place);
-    reserve_.fulfil(job.spec.lane, static_cast<int>(job.spec.priority),
-                    displaced_.rank(term_.cluster, id));
+    reserve_.fulfil(job.spec.job_class, static_cast<int>(job.spec.priority),
+                    displaced_.evacuation_position(context_.cluster, id));
     if (place.zone >= gates_.size()) {
         return;
     }
     Gate& gate = gates_[place.zone];
-    gate.room -= job.spec.each;
+    gate.capacity -= job.spec.each;
     gate.fetches += fetches;
     // The rest of a gang follows its first member.
-    gate.first = gate.first && job.spec.gang() && job.placed < job.spec.tasks;
+    gate.first = gate.first && job.spec.gang() && job.assigned < job.spec.tasks;
     if (job.spec.service()) {
         ++gate.replicas_starting;
         gate.jobs_starting.insert(id);
@@ -565,7 +574,7 @@
 }
 
 bool ZoneFailoverManager::waits_for_zone(Id job) const {
-    Id zone = term_.cluster.jobs[job].spec.zone;
+    Id zone = context_.cluster.jobs[job].spec.zone;
     return restricts_ && zone != kNone && lost(zone);
 }
 
@@ -574,11 +583,12 @@
 bool ZoneFailoverManager::lost(Id zone) const { return acted_on(zone) == ZoneState::lost; }
 
 bool ZoneFailoverManager::waited_long(Id job) const {
-    return now_ >= term_.cluster.jobs[job].waiting_since + to_ms(settings_.wait_most_s);
+    return now_ >= context_.cluster.jobs[job].waiting_since + to_ms(settings_.wait_most_s);
 }
 
-std::uint32_t ZoneFailoverManager::rentable(Id zone, std::uint32_t reporting,
-                                            std::uint32_t on_their_way, Id for_job) const {
+std::uint32_t ZoneFailoverManager::scale_out_allowance(Id zone, std::uint32_t reporting,
+                                                       std::uint32_t on_their_way,
+                                                       Id for_job) const {
     ZoneState state = acted_on(zone);
     if (!restricts_ || state == ZoneState::up || state == ZoneState::suspect) {
         return kNoLimit;
--- a/src/coordination/zone_failover_manager.hpp
+++ b/src/coordination/zone_failover_manager.hpp
@@ -16,7 +16,7 @@
 
 class ZoneFailoverManager {
   public:
-    explicit ZoneFailoverManager(Term& term);
+    explicit ZoneFailoverManager(LeaderContext& context);
 
     void tick(Ms now, const WorkerManager& workers, const CloudManager& cloud);
 
@@ -25,7 +25,7 @@
 
     // ---- for placing
     // Looks at the zones anew, at the beginning of a round of placing.
-    void begin_round(Ms now, const FreeCapacity& rooms);
+    void begin_round(Ms now, const FreeCapacity& free_capacity);
     // Some zone is not well, so that the questions below have to be asked.
     bool restricts() const { return restricts_ || evacuating_; }
     // May a task of the job (of a gang: all of them) begin in the zone now?
@@ -43,7 +43,7 @@
 
     // ---- the order of displaced work
     bool evacuating() const { return evacuating_; }
-    int rank(Id job) const;
+    int evacuation_position(Id job) const;
     // Since when the job's waiting counts: an older wait gives displaced work no advantage.
     Ms waits_since(Id job) const;
 
@@ -52,8 +52,8 @@
     bool lost(Id zone) const;
     // How many more machines may be rented there, with so many reporting and so many on their way,
     // for a job that fits nowhere (kNone: for work that could be elsewhere).
-    std::uint32_t rentable(Id zone, std::uint32_t reporting, std::uint32_t on_their_way,
-                           Id for_job) const;
+    std::uint32_t scale_out_allowance(Id zone, std::uint32_t reporting, std::uint32_t on_their_way,
+                                      Id for_job) const;
     // The job has waited so long that a zone that is not well is tried for it.
     bool waited_long(Id job) const;
     // Over how many zones rentals for displaced work are divided.
@@ -69,7 +69,7 @@
         ZoneRecord durable;
         Ms durable_since = 0;  // when the state acted on began
         Ms failing_since = 0;  // when it last ceased to be well
-        std::uint64_t stamp = 0;
+        std::uint64_t version = 0;
         bool writing = false;
         bool rewrite = false;  // the stored value can't be read
         Ms write_at = 0;
@@ -79,7 +79,7 @@
     struct Gate {
         ZoneState state = ZoneState::up;
         bool first = false;  // nothing is booked there: one job may begin, whatever its size
-        Amounts room;        // returning: what the ramp still admits
+        Resources capacity;  // returning: what the ramp still admits
         std::uint32_t fetches = 0;
         std::uint32_t replicas_starting = 0;
         std::set<Id> jobs_starting;  // services with a replica that starts there
@@ -105,21 +105,21 @@
     void mark_displaced(Ms now, Id zone, const WorkerManager* workers);
     void mark_interrupted(Ms now, Id zone);
     void write(Ms now, Id zone);
-    void written(Ms now, Id zone, const ZoneRecord& record, const StateReply& reply);
+    void written(Ms now, Id zone, const ZoneRecord& record, const StoreResponse& reply);
     bool write_due(Ms now, Zone& zone);
     void act_on(Ms now, Id zone, const ZoneRecord& record);
     void tell_loss(Id zone) const;
-    void settle(Ms now);
-    void build_reserve(Ms now, const FreeCapacity& rooms);
-    void build_gate(Ms now, Id zone, const FreeCapacity& rooms);
+    void end_observation(Ms now);
+    void build_reserve(Ms now, const FreeCapacity& free_capacity);
+    void build_gate(Ms now, Id zone, const FreeCapacity& free_capacity);
     void count_starting(Gate& gate, const Machine& machine);
-    Ms settled_at() const;
+    Ms judging_since() const;
     bool failing(Id zone) const;  // under suspicion, or lost
     ZoneState acted_on(Id zone) const;
     bool any_open() const;
     bool bound_to(const Job& job, Id zone) const;
 
-    Term& term_;
+    LeaderContext& context_;
     const ZoneFailoverSettings& settings_;
     std::vector<Zone> zones_;  // by id, those that the settings name
     std::vector<Gate> gates_;
--- a/src/protocol/cloud_wire.cpp
+++ b/src/protocol/cloud_wire.cpp
@@ -10,27 +10,27 @@
 constexpr PackLimits kCloudLimits{std::size_t{1024} * 1024, std::size_t{64} * 1024, 16};
 }
 
-HttpCall encode(const CloudCall& c) {
+HttpCall encode(const CloudRequest& c) {
     HttpCall h;
-    switch (c.verb) {
-        case CloudVerb::kinds:
+    switch (c.operation) {
+        case CloudOperation::list_machine_types:
             h.path = "/flavors";
             break;
-        case CloudVerb::hire:
+        case CloudOperation::scale_out:
             h.method = Method::post;
             h.path = "/machines";
-            h.body = pack(Json{{"hire", c.hire},
-                               {"build", c.kind},
+            h.body = pack(Json{{"hire", c.request_name},
+                               {"build", c.machine_type},
                                {"yard", c.zone},
                                {"loaners", c.spot},
                                {"howMany", c.count}});
             break;
-        case CloudVerb::give_back:
+        case CloudOperation::scale_in:
             h.method = Method::post;
             h.path = "/machines/return";
             h.body = pack(Json{{"walkers", c.names}});
             break;
-        case CloudVerb::list:
+        case CloudOperation::list:
             h.path = "/machines?most=500";
             if (!c.after.empty()) {
                 h.path += "&after=" + c.after;
@@ -40,8 +40,8 @@
     return h;
 }
 
-CloudReply decode_cloud(const CloudCall& c, int code, std::string_view body, Names& names) {
-    CloudReply r;
+CloudResponse decode_cloud(const CloudRequest& c, int code, std::string_view body, Names& names) {
+    CloudResponse r;
     r.call = c.call;
     r.status = code;
     if (code == 0) {
@@ -56,7 +56,7 @@
     if (code != 200) {
         return r;
     }
-    if (c.verb == CloudVerb::give_back) {
+    if (c.operation == CloudOperation::scale_in) {
         return r;
     }
     try {
@@ -64,22 +64,22 @@
             throw BadField{"not a map"};
         }
         const Json& b = *doc;
-        if (c.verb == CloudVerb::kinds) {
+        if (c.operation == CloudOperation::list_machine_types) {
             for (const Json& k : need(b, "builds")) {
-                Kind kind;
-                kind.id = names.kinds.intern(text(k, "name"));
-                kind.size = {decimal(k, "vcpus"), decimal(k, "gpus"), decimal(k, "ramGb")};
-                kind.cache_gb = decimal(k, "cacheGb");
-                kind.fetch_gb_per_s = decimal(k, "fetchGbPerS");
-                kind.price = decimal(k, "price");
-                kind.spot_price = absent(k, "lowPrice") ? 0 : decimal(k, "lowPrice");
-                kind.boot_s = decimal(k, "readyS");
+                MachineType machine_type;
+                machine_type.id = names.machine_types.intern(text(k, "name"));
+                machine_type.size = {decimal(k, "vcpus"), decimal(k, "gpus"), decimal(k, "ramGb")};
+                machine_type.cache_gb = decimal(k, "cacheGb");
+                machine_type.fetch_gb_per_s = decimal(k, "fetchGbPerS");
+                machine_type.price = decimal(k, "price");
+                machine_type.spot_price = absent(k, "lowPrice") ? 0 : decimal(k, "lowPrice");
+                machine_type.boot_s = decimal(k, "readyS");
                 for (const Json& z : need(k, "yards")) {
-                    kind.zones.push_back(names.zones.intern(z.get<std::string>()));
+                    machine_type.zones.push_back(names.zones.intern(z.get<std::string>()));
                 }
-                r.kinds.push_back(std::move(kind));
+                r.machine_types.push_back(std::move(machine_type));
             }
-        } else if (c.verb == CloudVerb::hire) {
+        } else if (c.operation == CloudOperation::scale_out) {
             for (const Json& n : need(b, "walkers")) {
                 r.names.push_back(n.get<std::string>());
             }
@@ -88,7 +88,7 @@
                 CloudMachine m;
                 m.name = text(w, "uid");
                 m.address = absent(w, "endpoint") ? "" : text(w, "endpoint");
-                m.kind = text(w, "build");
+                m.machine_type = text(w, "build");
                 m.zone = text(w, "yard");
                 m.spot = truth(w, "loaners");
                 m.age_s = absent(w, "heldS") ? 0 : decimal(w, "heldS");
@@ -110,10 +110,10 @@
         }
     } catch (const BadField& e) {
         spdlog::warn("answer of the cloud not understood: {}", e.what);
-        r = CloudReply{c.call, 0, {}, {}, {}, false};
+        r = CloudResponse{c.call, 0, {}, {}, {}, false};
     } catch (const Json::exception&) {
         spdlog::warn("answer of the cloud not understood");
-        r = CloudReply{c.call, 0, {}, {}, {}, false};
+        r = CloudResponse{c.call, 0, {}, {}, {}, false};
     }
     return r;
 }
--- a/src/protocol/peer_frame.cpp
+++ b/src/protocol/peer_frame.cpp
@@ -32,9 +32,10 @@
 
 template <class Archive>
 void serialize(Archive& archive, PeerHeartbeat& f) {
-    ShortText node{f.node}, incarnation{f.incarnation}, echo{f.echo_incarnation}, leader{f.leader};
-    archive(node, incarnation, f.sequence, f.echo, echo, f.token, leader, f.state_quiet_ms, f.up_ms,
-            f.heartbeat_quiet_ms, f.revision);
+    ShortText controller{f.controller}, incarnation{f.incarnation}, echo{f.echo_incarnation},
+        leader{f.leader};
+    archive(controller, incarnation, f.sequence, f.echo, echo, f.fencing_token, leader,
+            f.store_quiet_ms, f.up_ms, f.heartbeat_quiet_ms, f.revision);
 }
 
 namespace protocol {
--- a/src/protocol/properties_file.cpp
+++ b/src/protocol/properties_file.cpp
@@ -35,43 +35,43 @@
 constexpr double kHour = 3600;
 constexpr double kDay = 86400;
 
-void add_scaling(Policy& q, Properties& table) {
+void add_scaling(OperatorSettings& q, Properties& table) {
     table["scale.mark.low"] = Number{&q.mark_low, 0, 1};
     table["scale.mark.high"] = Number{&q.mark_high, 0, 1};
     table["scale.out.interval_s"] = Number{&q.out_interval_s, 0.1, kHour};
     table["scale.in.interval_s"] = Number{&q.in_interval_s, 0.1, kHour};
-    table["scale.cap_per_kind"] = Number{&q.cap_per_kind, 0, 10000};
+    table["scale.cap_per_kind"] = Number{&q.max_per_machine_type, 0, 10000};
     table["scale.permanent.first"] = Number{&q.permanent_first, 0, 50};
     table["scale.order"] = Choice{&q.order, {"cost", "cores"}};
-    table["scale.unplaceable"] = Number{&q.rent_unplaceable, 0, 1};
+    table["scale.unplaceable"] = Number{&q.scale_out_unplaceable, 0, 1};
     table["scale.unplaceable.after_s"] = Number{&q.unplaceable_after_s, 0, kHour};
-    table["scale.spot"] = Number{&q.spot_prefer, 0, 1};
-    table["scale.idle_cost"] = Number{&q.idle_cost, 0, 1e6};
+    table["scale.spot"] = Number{&q.prefer_spot, 0, 1};
+    table["scale.idle_cost"] = Number{&q.max_idle_cost, 0, 1e6};
     table["scale.no_capacity_backoff_s"] = Number{&q.no_capacity_backoff_s, 0.5, kHour};
 }
 
-void add_machines(Policy& q, Properties& table) {
-    table["machines.boot.give_up"] = Number{&q.boot_give_up, 1, 100};
-    table["machines.boot.late"] = Number{&q.boot_late, 1, 100};
-    table["machines.lost_return_s"] = Number{&q.lost_return_s, 0, kHour};
-    table["machines.unseen_return_s"] = Number{&q.unseen_return_s, 1, kHour};
-    table["machines.deaf_return_s"] = Number{&q.deaf_return_s, 1, kHour};
-    table["workers.settle_s"] = Number{&q.settle_s, 0, 2};
-    table["workers.idle_hold_s"] = Number{&q.idle_hold_s, 0, 3};
+void add_machines(OperatorSettings& q, Properties& table) {
+    table["machines.boot.give_up"] = Number{&q.boot_timeout_factor, 1, 100};
+    table["machines.boot.late"] = Number{&q.boot_late_factor, 1, 100};
+    table["machines.lost_return_s"] = Number{&q.silent_release_s, 0, kHour};
+    table["machines.unseen_return_s"] = Number{&q.unreported_release_s, 1, kHour};
+    table["machines.deaf_return_s"] = Number{&q.unacknowledged_release_s, 1, kHour};
+    table["workers.settle_s"] = Number{&q.response_hold_s, 0, 2};
+    table["workers.idle_hold_s"] = Number{&q.idle_response_hold_s, 0, 3};
     table["leader.lease_s"] = Number{&q.lease_ttl_s, 0.5, 600};
     table["leader.probe_after_s"] = Number{&q.takeover_probe_s, 0.5, 600};
 }
 
-void add_placing(Policy& q, Properties& table) {
+void add_placing(OperatorSettings& q, Properties& table) {
     table["place.round_budget_ms"] = Number{&q.round_budget_ms, 0.1, 1000};
     table["place.regret_s"] = Number{&q.opportunity_cost_s, 0, kHour};
     table["place.order"] = Choice{&q.place_order, {"aim", "age"}};
     table["place.keep_slots"] = Number{&q.keep_slots, 0, 1000};
     table["place.preempt"] = Number{&q.preempt, 0, 1};
     table["place.preempt.after_s"] = Number{&q.preempt_after_s, 0, kHour};
-    table["place.rise_s"] = Number{&q.rise_s, 0, kDay};
-    table["place.gather"] = Number{&q.gather, 0, 1000};
-    table["place.gather.after_s"] = Number{&q.gather_after_s, 0, kHour};
+    table["place.rise_s"] = Number{&q.priority_aging_s, 0, kDay};
+    table["place.gather"] = Number{&q.max_reserving_gangs, 0, 1000};
+    table["place.gather.after_s"] = Number{&q.reserve_after_s, 0, kHour};
 }
 
 void add_zone_failover(ZoneFailoverSettings& z, Properties& table) {
@@ -98,7 +98,7 @@
     table["zone_failover.wait_most_s"] = Number{&z.wait_most_s, 0, kHour};
 }
 
-Properties properties_of(Policy& q) {
+Properties properties_of(OperatorSettings& q) {
     Properties table;
     add_scaling(q, table);
     add_machines(q, table);
@@ -194,7 +194,7 @@
     throw SettingsError(where + ": " + low_name + ": must be below " + high_name);
 }
 
-void check_together(const Policy& q, const std::map<std::string, std::string>& set_by) {
+void check_together(const OperatorSettings& q, const std::map<std::string, std::string>& set_by) {
     require_below(q.mark_low, q.mark_high, "scale.mark.low", "scale.mark.high", set_by);
     require_below(q.mark_high, 1, "scale.mark.high", "1", set_by);
     const ZoneFailoverSettings& z = q.zone_failover;
@@ -210,9 +210,10 @@
 
 }  // namespace
 
-Policy load_policy(const std::vector<std::string>& paths, std::vector<std::string>& notes) {
-    Policy policy;
-    Properties table = properties_of(policy);
+OperatorSettings load_operator_settings(const std::vector<std::string>& paths,
+                                        std::vector<std::string>& notes) {
+    OperatorSettings operator_settings;
+    Properties table = properties_of(operator_settings);
     std::map<std::string, std::string> set_by;  // property -> the file that set it
     for (const std::string& path : paths) {
         auto file = open_file(path);
@@ -224,7 +225,8 @@
             if (property == table.end()) {
                 throw SettingsError(source.where() + ": no such property");
             }
-            std::visit([&](const auto& kind) { assign(kind, source, *file); }, property->second);
+            std::visit([&](const auto& machine_type) { assign(machine_type, source, *file); },
+                       property->second);
             auto [earlier, fresh] = set_by.try_emplace(name, path);
             if (!fresh && earlier->second != path) {
                 notes.push_back(name + ": " + path + " counts, not " + earlier->second);
@@ -232,24 +234,25 @@
             }
         }
     }
-    check_together(policy, set_by);
-    return policy;
+    check_together(operator_settings, set_by);
+    return operator_settings;
 }
 
 std::vector<std::string> property_names() {
-    Policy policy;
+    OperatorSettings operator_settings;
     std::vector<std::string> names;
-    for (const auto& [name, property] : properties_of(policy)) {
+    for (const auto& [name, property] : properties_of(operator_settings)) {
         names.push_back(name);
     }
     return names;
 }
 
-void note_unknown_classes(const Policy& policy, const Platform& platform,
+void note_unknown_classes(const OperatorSettings& operator_settings,
+                          const PlatformSettings& platform_settings,
                           std::vector<std::string>& notes) {
-    for (const std::string& name : policy.zone_failover.order) {
-        bool known = std::find(platform.classes.begin(), platform.classes.end(), name) !=
-                     platform.classes.end();
+    for (const std::string& name : operator_settings.zone_failover.order) {
+        bool known = std::find(platform_settings.classes.begin(), platform_settings.classes.end(),
+                               name) != platform_settings.classes.end();
         if (!known) {
             notes.push_back("zone_failover.order: no objective names the class '" + name + "'");
         }
--- a/src/protocol/settings_file.cpp
+++ b/src/protocol/settings_file.cpp
@@ -78,33 +78,35 @@
 };
 
 // Fields that are absent are taken from `otherwise`, or missed where there is nothing to take.
-StateLimits read_state_limits(const Reader& state, const StateLimits* otherwise) {
-    auto limit = [&](const char* name, double StateLimits::*field, double least, double most) {
+StoreLimits read_state_limits(const Reader& state, const StoreLimits* otherwise) {
+    auto limit = [&](const char* name, double StoreLimits::*field, double least, double most) {
         return otherwise ? state.number_or(name, otherwise->*field, least, most)
                          : state.number(name, least, most);
     };
-    StateLimits limits;
-    limits.requests_per_s = limit("rps", &StateLimits::requests_per_s, 1, 1e9);
-    limits.writes_per_s = limit("write_rps", &StateLimits::writes_per_s, 0.5, 1e9);
-    limits.value_kb = limit("value_kb", &StateLimits::value_kb, 0.5, 1e6);
+    StoreLimits limits;
+    limits.requests_per_s = limit("rps", &StoreLimits::requests_per_s, 1, 1e9);
+    limits.writes_per_s = limit("write_rps", &StoreLimits::writes_per_s, 0.5, 1e9);
+    limits.value_kb = limit("value_kb", &StoreLimits::value_kb, 0.5, 1e6);
     constexpr double kLeastOps = 3;  // the largest of the writes that can't be split
     constexpr double kMostOps = 1e6;
-    double ops = otherwise ? state.number_or("txn_ops", otherwise->txn_ops, kLeastOps, kMostOps)
+    double ops = otherwise ? state.number_or("txn_ops", otherwise->transaction_operations,
+                                             kLeastOps, kMostOps)
                            : state.number("txn_ops", kLeastOps, kMostOps);
-    limits.txn_ops = static_cast<std::uint32_t>(ops);
+    limits.transaction_operations = static_cast<std::uint32_t>(ops);
     return limits;
 }
 
 }  // namespace
 
-Platform read_platform(const std::string& json_text, std::vector<std::string>& notes) {
+PlatformSettings read_platform_settings(const std::string& json_text,
+                                        std::vector<std::string>& notes) {
     Json doc = Json::parse(json_text, nullptr, false);
     if (doc.is_discarded()) {
         throw SettingsError("settings: not JSON");
     }
     Reader top(doc, "");
-    Platform p;
-    p.node_name = top.text("node_name");
+    PlatformSettings p;
+    p.controller_name = top.text("node_name");
     if (top.has("location")) {
         p.zone = top.text("location");
     }
@@ -135,8 +137,9 @@
         Reader team(teams[i], "params.teams[" + std::to_string(i) + "]");
         Team t;
         t.name = team.text("name");
-        t.guarantee = {team.number_or("cpus", 0, 0, 1e9), team.number_or("gpus", 0, 0, 1e9), 0};
-        t.limit = {team.number_or("cpus_max", 0, 0, 1e9), team.number_or("gpus_max", 0, 0, 1e9), 0};
+        t.guaranteed_share = {team.number_or("cpus", 0, 0, 1e9), team.number_or("gpus", 0, 0, 1e9),
+                              0};
+        t.quota = {team.number_or("cpus_max", 0, 0, 1e9), team.number_or("gpus_max", 0, 0, 1e9), 0};
         for (const Team& other : p.teams) {
             if (other.name == t.name) {
                 throw SettingsError(team.where("name") + ": named twice");
@@ -148,14 +151,17 @@
         const Json& objectives = params.list("objectives");
         for (std::size_t i = 0; i < objectives.size(); ++i) {
             Reader o(objectives[i], "params.objectives[" + std::to_string(i) + "]");
-            std::string kind = o.text("kind");
+            std::string machine_type = o.text("kind");
             if (o.has("class")) {
                 p.classes.push_back(o.text("class"));
             }
-            if (kind != "wait" && kind != "finished" && kind != "deadline" && kind != "guarantee") {
-                notes.push_back(o.where("kind") + ": '" + kind + "' is not known and ignored");
-            } else if (kind == "wait") {
-                p.wait_aims.push_back({o.text("class"), o.number("within_s", 0, 1e9)});
+            if (machine_type != "wait" && machine_type != "finished" &&
+                machine_type != "deadline" && machine_type != "guarantee") {
+                notes.push_back(o.where("kind") + ": '" + machine_type +
+                                "' is not known and ignored");
+            } else if (machine_type == "wait") {
+                p.start_latency_objectives.push_back(
+                    {o.text("class"), o.number("within_s", 0, 1e9)});
             }
         }
     }
@@ -169,9 +175,9 @@
         throw SettingsError("params.workers.lease_s: must be longer than report_s");
     }
     Reader state = params.child("state");
-    p.state_limits = read_state_limits(state, nullptr);
+    p.store_limits = read_state_limits(state, nullptr);
     if (state.has("next")) {
-        p.next_state_limits = read_state_limits(state.child("next"), &p.state_limits);
+        p.next_store_limits = read_state_limits(state.child("next"), &p.store_limits);
     }
     Reader cloud = params.child("cloud");
     p.cloud_rps = cloud.number("rps", 0.1, 1e9);
@@ -195,14 +201,14 @@
     return p;
 }
 
-Platform load_platform(const std::string& path, std::vector<std::string>& notes) {
+PlatformSettings load_platform_settings(const std::string& path, std::vector<std::string>& notes) {
     std::ifstream in(path, std::ios::binary);
     std::ostringstream text;
     text << in.rdbuf();
     if (!in || in.bad()) {
         throw SettingsError("settings: can't read " + path);
     }
-    return read_platform(text.str(), notes);
+    return read_platform_settings(text.str(), notes);
 }
 
 }  // namespace walkford::protocol
--- a/src/protocol/settings_file.hpp
+++ b/src/protocol/settings_file.hpp
@@ -15,7 +15,8 @@
 };
 
 // Notes are what was ignored, to be logged once logging works.
-Platform read_platform(const std::string& json_text, std::vector<std::string>& notes);
-Platform load_platform(const std::string& path, std::vector<std::string>& notes);
+PlatformSettings read_platform_settings(const std::string& json_text,
+                                        std::vector<std::string>& notes);
+PlatformSettings load_platform_settings(const std::string& path, std::vector<std::string>& notes);
 
 }  // namespace walkford::protocol
--- a/src/protocol/state_wire.cpp
+++ b/src/protocol/state_wire.cpp
@@ -10,46 +10,46 @@
 constexpr PackLimits kStateLimits{std::size_t{8} * 1024 * 1024, std::size_t{1024} * 1024, 32};
 }
 
-HttpCall encode(const StateCall& c) {
+HttpCall encode(const StoreRequest& c) {
     HttpCall h;
-    switch (c.verb) {
-        case StateVerb::get:
+    switch (c.operation) {
+        case StoreOperation::get:
             h.path = "/keys/" + c.key;
             break;
-        case StateVerb::list:
+        case StoreOperation::list:
             h.path = "/keys?prefix=" + c.key;
             if (!c.after_key.empty()) {
                 h.path += "&after=" + c.after_key;
             }
             h.path += "&most=400";
             break;
-        case StateVerb::changes:
+        case StoreOperation::changes:
             h.path = "/changes?prefix=" + c.key + "&after=" + std::to_string(c.after) +
                      "&blockMs=" + std::to_string(c.wait_ms);
             break;
-        case StateVerb::lease_grant:
+        case StoreOperation::lease_grant:
             h.method = Method::post;
             h.path = "/leases";
             h.body = pack(Json{{"lifeMs", c.ttl_ms}});
             break;
-        case StateVerb::lease_touch:
+        case StoreOperation::lease_renew:
             h.method = Method::post;
             h.path = "/leases/" + std::to_string(c.lease) + "/touch";
             h.body = pack(Json::object());
             break;
-        case StateVerb::lease_drop:
+        case StoreOperation::lease_revoke:
             h.method = Method::del;
             h.path = "/leases/" + std::to_string(c.lease);
             break;
-        case StateVerb::txn: {
+        case StoreOperation::transaction: {
             h.method = Method::post;
             h.path = "/txn";
-            Json conditions = Json::array();
-            for (const Condition& k : c.txn.conditions) {
-                conditions.push_back(Json{{"k", k.key}, {"stamp", k.stamp}});
+            Json comparisons = Json::array();
+            for (const Comparison& k : c.transaction.comparisons) {
+                comparisons.push_back(Json{{"k", k.key}, {"stamp", k.version}});
             }
             Json writes = Json::array();
-            for (const Write& w : c.txn.writes) {
+            for (const Write& w : c.transaction.writes) {
                 if (!w.value) {
                     writes.push_back(Json{{"drop", w.key}});
                     continue;
@@ -60,21 +60,21 @@
                 }
                 writes.push_back(std::move(v));
             }
-            h.body = pack(Json{{"if", std::move(conditions)}, {"writes", std::move(writes)}});
+            h.body = pack(Json{{"if", std::move(comparisons)}, {"writes", std::move(writes)}});
             break;
         }
     }
     return h;
 }
 
-StateReply decode_state(const StateCall& c, int code, std::string_view body) {
-    StateReply r;
+StoreResponse decode_state(const StoreRequest& c, int code, std::string_view body) {
+    StoreResponse r;
     r.call = c.call;
     r.status = code;
     if (code == 0 || code == 429 || code == 503) {
         return r;
     }
-    if (body.empty() && (code == 204 || c.verb == StateVerb::lease_drop)) {
+    if (body.empty() && (code == 204 || c.operation == StoreOperation::lease_revoke)) {
         return r;
     }
     auto doc = unpack(body, kStateLimits);
@@ -98,18 +98,18 @@
         if (code != 200) {
             return r;
         }
-        switch (c.verb) {
-            case StateVerb::get:
+        switch (c.operation) {
+            case StoreOperation::get:
                 r.rows.push_back({text(b, "k"), need(b, "value"), whole(b, "stamp", "")});
                 break;
-            case StateVerb::list:
+            case StoreOperation::list:
                 for (const Json& row : need(b, "rows")) {
                     r.rows.push_back({text(row, "k"), need(row, "value"), whole(row, "stamp", "")});
                 }
                 r.more = !absent(b, "truncated") && b["truncated"].is_boolean() &&
                          b["truncated"].get<bool>();
                 break;
-            case StateVerb::changes:
+            case StoreOperation::changes:
                 for (const Json& e : need(b, "events")) {
                     if (!absent(e, "write")) {
                         r.rows.push_back(
@@ -121,7 +121,7 @@
                     }
                 }
                 break;
-            case StateVerb::lease_grant:
+            case StoreOperation::lease_grant:
                 r.lease = whole(b, "permit", "");
                 break;
             default:
--- a/src/protocol/user_wire.cpp
+++ b/src/protocol/user_wire.cpp
@@ -10,7 +10,7 @@
 
 JobShape job_shape(const std::string& shape) {
     if (shape == "batch") {
-        return JobShape::batch;
+        return JobShape::array;
     }
     if (shape == "ensemble") {
         return JobShape::gang;
@@ -48,7 +48,7 @@
     if (!job_id_ok(s.id)) {
         throw BadField{"bad uid"};
     }
-    q.lane_name = text(b, "lane");
+    q.job_class_name = text(b, "lane");
     q.team_name = text(b, "owner");
     std::string shape = text(b, "shape");
     s.shape = job_shape(shape);
@@ -75,12 +75,12 @@
         if (!builds.is_array()) {
             throw BadField{"bad builds"};
         }
-        q.kinds_named = true;
+        q.machine_types_named = true;
         for (const Json& k : builds) {
             if (!k.is_string()) {
                 throw BadField{"bad builds"};
             }
-            q.kind_names.push_back(k.get<std::string>());
+            q.machine_type_names.push_back(k.get<std::string>());
         }
     }
     if (!absent(b, "yard")) {
@@ -96,13 +96,13 @@
     if (s.service()) {
         s.estimate_s = 0;  // it has no end that could be estimated
     }
-    s.checkpoint_s = decimal(b, "bookmarkS");
-    s.save_s = decimal(b, "stashS");
+    s.checkpoint_interval_s = decimal(b, "bookmarkS");
+    s.checkpoint_duration_s = decimal(b, "stashS");
     s.deadline_s = absent(b, "dueS") ? -1 : decimal(b, "dueS");
     return q;
 }
 
-HttpReply encode(const UserAnswer& a) {
+HttpReply encode(const UserResponse& a) {
     HttpReply r;
     r.code = a.code;
     r.retry_after_s = a.retry_after_s;
--- a/src/protocol/wire.cpp
+++ b/src/protocol/wire.cpp
@@ -32,7 +32,7 @@
             if (!doc) {
                 return error_reply(400, "not a MessagePack value");
             }
-            return Input{HeartbeatRequest{request, read_report(*doc)}};
+            return Input{HeartbeatRequest{request, read_worker_status(*doc)}};
         }
         if (path == "/work") {
             if (method != Method::post) {
--- a/src/protocol/wire.hpp
+++ b/src/protocol/wire.hpp
@@ -28,18 +28,18 @@
 using Arrival = std::variant<Input, HttpReply>;
 Arrival parse_request(RequestId request, Method method, std::string_view path,
                       std::string_view body);
-HttpReply encode(const UserAnswer& answer);
-HttpReply encode(const HeartbeatAnswer& answer);
+HttpReply encode(const UserResponse& answer);
+HttpReply encode(const HeartbeatResponse& answer);
 HttpReply error_reply(int code, const std::string& why);
 
-HttpCall encode(const StateCall& call);
-StateReply decode_state(const StateCall& call, int code, std::string_view body);
-HttpCall encode(const CloudCall& call);
+HttpCall encode(const StoreRequest& call);
+StoreResponse decode_state(const StoreRequest& call, int code, std::string_view body);
+HttpCall encode(const CloudRequest& call);
 // Kinds and zones become indices here.
-CloudReply decode_cloud(const CloudCall& call, int code, std::string_view body, Names& names);
-HttpCall encode(const WorkerCall& call);
-WorkerReply decode_worker(CallId call, int code, std::string_view body);
+CloudResponse decode_cloud(const CloudRequest& call, int code, std::string_view body, Names& names);
+HttpCall encode(const WorkerRequest& call);
+WorkerResponse decode_worker(CallId call, int code, std::string_view body);
 
-std::optional<WorkerReport> parse_report(const Json& body);
+std::optional<WorkerStatus> parse_worker_status(const Json& body);
 
 }  // namespace walkford::protocol
--- a/src/protocol/wire_requests.hpp
+++ b/src/protocol/wire_requests.hpp
@@ -7,6 +7,6 @@
 namespace walkford::protocol {
 
 SubmitRequest parse_job(RequestId request, const Json& body);
-WorkerReport read_report(const Json& body);
+WorkerStatus read_worker_status(const Json& body);
 
 }  // namespace walkford::protocol
--- a/src/protocol/worker_wire.cpp
+++ b/src/protocol/worker_wire.cpp
@@ -39,18 +39,18 @@
     return TaskState::unknown;
 }
 
-Json encode_orders(const std::vector<Order>& orders) {
+Json encode_commands(const std::vector<WorkerCommand>& commands) {
     Json list = Json::array();
-    for (const Order& o : orders) {
+    for (const WorkerCommand& o : commands) {
         Json v{{"piece", o.job + "/" + std::to_string(o.task)}, {"try", o.attempt}};
-        switch (o.verb) {
-            case OrderVerb::run:
+        switch (o.type) {
+            case WorkerCommandType::run:
                 v["verb"] = "run";
                 break;
-            case OrderVerb::clear:
+            case WorkerCommandType::clear:
                 v["verb"] = "clear";
                 break;
-            case OrderVerb::halt:
+            case WorkerCommandType::stop:
                 v["verb"] = "halt";
                 v["leewayS"] = o.grace_s;
                 break;
@@ -62,22 +62,22 @@
 
 }  // namespace
 
-WorkerReport read_report(const Json& b) {
+WorkerStatus read_worker_status(const Json& b) {
     if (!b.is_object()) {
         throw BadField{"not a map"};
     }
-    WorkerReport r;
+    WorkerStatus r;
     r.machine = text(b, "walker");
     if (r.machine.empty()) {
         throw BadField{"bad walker"};
     }
     r.address = absent(b, "endpoint") ? "" : text(b, "endpoint");
-    r.kind = text(b, "build");
+    r.machine_type = text(b, "build");
     r.zone = text(b, "yard");
     r.spot = truth(b, "loaners");
-    r.session = whole(b, "stint", "");
-    r.tick = whole(b, "tick", "");
-    r.token = whole(b, "baton", "");
+    r.incarnation = whole(b, "stint", "");
+    r.sequence = whole(b, "tick", "");
+    r.fencing_token = whole(b, "baton", "");
     if (!absent(b, "warningS")) {
         r.notice_s = decimal(b, "warningS");
     }
@@ -98,27 +98,27 @@
         if (!absent(p, "cause")) {
             t.cause = text(p, "cause");
         }
-        t.kept = !absent(p, "kept") && p["kept"].is_boolean() && p["kept"].get<bool>();
+        t.progress_saved = !absent(p, "kept") && p["kept"].is_boolean() && p["kept"].get<bool>();
         r.tasks.push_back(std::move(t));
     }
     return r;
 }
 
-std::optional<WorkerReport> parse_report(const Json& body) {
+std::optional<WorkerStatus> parse_worker_status(const Json& body) {
     try {
-        return read_report(body);
+        return read_worker_status(body);
     } catch (const BadField&) {
         return std::nullopt;
     }
 }
 
-HttpReply encode(const HeartbeatAnswer& a) {
+HttpReply encode(const HeartbeatResponse& a) {
     HttpReply r;
     r.code = a.code;
     Json v = Json::object();
     if (a.code == 200) {
-        v["baton"] = a.token;
-        v["orders"] = encode_orders(a.orders);
+        v["baton"] = a.fencing_token;
+        v["orders"] = encode_commands(a.commands);
     } else if (!a.leader.empty()) {
         v["foreman"] = a.leader;
     }
@@ -126,22 +126,23 @@
     return r;
 }
 
-HttpCall encode(const WorkerCall& c) {
+HttpCall encode(const WorkerRequest& c) {
     HttpCall h;
     h.method = Method::post;
     h.path = "/orders";
-    h.body =
-        pack(Json{{"baton", c.token}, {"stint", c.session}, {"orders", encode_orders(c.orders)}});
+    h.body = pack(Json{{"baton", c.fencing_token},
+                       {"stint", c.incarnation},
+                       {"orders", encode_commands(c.commands)}});
     return h;
 }
 
-WorkerReply decode_worker(CallId call, int code, std::string_view body) {
-    WorkerReply r{call, code, std::nullopt};
+WorkerResponse decode_worker(CallId call, int code, std::string_view body) {
+    WorkerResponse r{call, code, std::nullopt};
     if (code != 200 && code != 409) {
         return r;
     }
     if (auto doc = unpack(body)) {
-        r.report = parse_report(*doc);
+        r.worker_status = parse_worker_status(*doc);
     }
     return r;
 }
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -12,7 +12,7 @@
                        long timeout_ms, bool keep)
     : base_(base), address_(address), timeout_ms_(timeout_ms), keep_(keep) {
     std::tie(host_, port_) = split_address(address);
-    lanes_.resize(connections);
+    connections_.resize(connections);
 }
 
 HttpClient::~HttpClient() {
@@ -20,7 +20,7 @@
     for (Open* open : open_) {
         open->over = true;
     }
-    lanes_.clear();
+    connections_.clear();
     for (Open* open : open_) {
         delete open;
     }
@@ -28,17 +28,17 @@
 
 bool HttpClient::idle() const { return open_.empty() && queue_.empty(); }
 
-void HttpClient::connect(Lane& lane) {
-    lane.connection.reset(
+void HttpClient::connect(PooledConnection& connection_index) {
+    connection_index.connection.reset(
         evhttp_connection_base_bufferevent_new(base_, nullptr, nullptr, host_.c_str(), port_));
-    if (lane.connection) {
-        evhttp_connection_set_max_body_size(lane.connection.get(), kMostAnswer);
+    if (connection_index.connection) {
+        evhttp_connection_set_max_body_size(connection_index.connection.get(), kMostAnswer);
     }
 }
 
 void HttpClient::send(protocol::HttpCall call, Then then) {
-    for (std::size_t i = 0; i < lanes_.size(); ++i) {
-        if (!lanes_[i].busy) {
+    for (std::size_t i = 0; i < connections_.size(); ++i) {
+        if (!connections_[i].busy) {
             start(i, std::move(call), std::move(then));
             return;
         }
@@ -47,15 +47,15 @@
 }
 
 void HttpClient::start(std::size_t index, protocol::HttpCall call, Then then) {
-    Lane& lane = lanes_[index];
-    if (!lane.connection) {
-        connect(lane);
+    PooledConnection& connection_index = connections_[index];
+    if (!connection_index.connection) {
+        connect(connection_index);
     }
-    lane.busy = true;
+    connection_index.busy = true;
     auto* open = new Open{this, index, std::move(then), nullptr};
     open_.push_back(open);
     evhttp_request* request = evhttp_request_new(on_done, open);
-    if (!lane.connection || !request) {
+    if (!connection_index.connection || !request) {
         if (request) {
             evhttp_request_free(request);
         }
@@ -78,7 +78,8 @@
     evhttp_cmd_type method = call.method == protocol::Method::get    ? EVHTTP_REQ_GET
                              : call.method == protocol::Method::post ? EVHTTP_REQ_POST
                                                                      : EVHTTP_REQ_DELETE;
-    if (evhttp_make_request(lane.connection.get(), request, method, call.path.c_str()) != 0) {
+    if (evhttp_make_request(connection_index.connection.get(), request, method,
+                            call.path.c_str()) != 0) {
         // The request is freed by the library, and on_done isn't called.
         if (std::find(open_.begin(), open_.end(), open) != open_.end()) {
             finish(open, 0, {});
@@ -108,35 +109,35 @@
     HttpClient* client = open->client;
     // The answer may still come: it must not be taken for another's, so the connection goes.
     open->over = true;
-    client->lanes_[open->lane].connection.reset();
+    client->connections_[open->connection_index].connection.reset();
     client->finish(open, 0, {});
 }
 
 void HttpClient::finish(Open* open, int code, std::string_view body) {
     open->over = true;
     std::erase(open_, open);
-    std::size_t index = open->lane;
+    std::size_t index = open->connection_index;
     Then then = std::move(open->then);
     std::unique_ptr<Open> freed(open);
-    lanes_[index].busy = false;
+    connections_[index].busy = false;
     if (!queue_.empty()) {
         // Later: this may run inside the connection's own callback.
         auto* again = new std::pair<HttpClient*, std::size_t>(this, index);
         timeval now{0, 0};
-        lanes_[index].busy = true;
+        connections_[index].busy = true;
         event_base_once(
             base_, -1, EV_TIMEOUT,
             [](evutil_socket_t, short, void* p) {
                 std::unique_ptr<std::pair<HttpClient*, std::size_t>> pair(
                     static_cast<std::pair<HttpClient*, std::size_t>*>(p));
-                auto [client, lane] = *pair;
-                client->lanes_[lane].busy = false;
+                auto [client, connection_index] = *pair;
+                client->connections_[connection_index].busy = false;
                 if (client->queue_.empty()) {
                     return;
                 }
                 Queued next = std::move(client->queue_.front());
                 client->queue_.pop_front();
-                client->start(lane, std::move(next.call), std::move(next.then));
+                client->start(connection_index, std::move(next.call), std::move(next.then));
             },
             again, &now);
     }
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -24,13 +24,13 @@
     bool idle() const;
 
   private:
-    struct Lane {
+    struct PooledConnection {
         HttpConnection connection;
         bool busy = false;
     };
     struct Open {
         HttpClient* client;
-        std::size_t lane;
+        std::size_t connection_index;
         Then then;
         Event deadline;
         bool over = false;
@@ -41,9 +41,9 @@
     };
     static void on_done(evhttp_request* request, void* open);
     static void on_deadline(evutil_socket_t, short, void* open);
-    void start(std::size_t lane, protocol::HttpCall call, Then then);
+    void start(std::size_t connection_index, protocol::HttpCall call, Then then);
     void finish(Open* open, int code, std::string_view body);
-    void connect(Lane& lane);
+    void connect(PooledConnection& connection_index);
 
     event_base* base_;
     std::string address_;
@@ -51,7 +51,7 @@
     std::uint16_t port_;
     long timeout_ms_;
     bool keep_;
-    std::vector<Lane> lanes_;
+    std::vector<PooledConnection> connections_;
     std::deque<Queued> queue_;
     std::vector<Open*> open_;
 };
--- a/src/transport/main.cpp
+++ b/src/transport/main.cpp
@@ -17,8 +17,8 @@
 constexpr int kBadSettings = 2;
 constexpr int kCannotServe = 1;
 
-void set_up_log(const std::string& node) {
-    auto log = spdlog::stderr_logger_st(node);
+void set_up_log(const std::string& controller) {
+    auto log = spdlog::stderr_logger_st(controller);
     log->set_pattern("[%H:%M:%S.%e] [%n] [%l] %v");
     const char* level = std::getenv("LOG_LEVEL");
     std::string name = level ? level : "info";
@@ -60,13 +60,13 @@
         return code == 0 ? 0 : kBadSettings;
     }
 
-    walkford::Platform platform;
-    walkford::Policy policy;
+    walkford::PlatformSettings platform_settings;
+    walkford::OperatorSettings operator_settings;
     std::vector<std::string> notes;
     try {
-        platform = walkford::protocol::load_platform(config, notes);
-        policy = walkford::protocol::load_policy(properties, notes);
-        walkford::protocol::note_unknown_classes(policy, platform, notes);
+        platform_settings = walkford::protocol::load_platform_settings(config, notes);
+        operator_settings = walkford::protocol::load_operator_settings(properties, notes);
+        walkford::protocol::note_unknown_classes(operator_settings, platform_settings, notes);
     } catch (const std::exception& e) {
         std::cerr << "walkford: " << e.what() << "\n";
         return kBadSettings;
@@ -78,14 +78,15 @@
         std::cout << "settings are good\n";
         return 0;
     }
-    set_up_log(platform.node_name);
+    set_up_log(platform_settings.controller_name);
     for (const std::string& note : notes) {
         spdlog::warn("settings: {}", note);
     }
-    platform.incarnation = random_name();
+    platform_settings.incarnation = random_name();
     std::signal(SIGPIPE, SIG_IGN);
     try {
-        walkford::transport::Process process(std::move(platform), std::move(policy));
+        walkford::transport::Process process(std::move(platform_settings),
+                                             std::move(operator_settings));
         return process.run();
     } catch (const std::exception& e) {
         spdlog::error("{}", e.what());
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -148,7 +148,7 @@
             return;
         }
         for (std::size_t i = 0; i < self->peers_.size(); ++i) {
-            if (self->peers_[i].name == fact->node) {
+            if (self->peers_[i].name == fact->controller) {
                 self->handler_(PeerInput{i, std::move(*fact)});
                 break;
             }
--- a/src/transport/process.cpp
+++ b/src/transport/process.cpp
@@ -28,41 +28,45 @@
         .count();
 }
 
-Process::Process(Platform platform, Policy policy)
-    : platform_(platform),
+Process::Process(PlatformSettings platform_settings, OperatorSettings operator_settings)
+    : platform_settings_(platform_settings),
       base_(event_base_new()),
-      node_(std::move(platform), std::move(policy), random_seed()) {
+      controller_(std::move(platform_settings), std::move(operator_settings), random_seed()) {
     if (!base_) {
         throw std::runtime_error("no event loop");
     }
-    node_.set_stopwatch([] {
+    controller_.set_stopwatch([] {
         return std::chrono::duration_cast<std::chrono::microseconds>(
                    std::chrono::steady_clock::now().time_since_epoch())
             .count();
     });
     event_base* base = base_.get();
     // Connections to state, cloud, workers and peers come first; users and workers get the rest.
-    most_worker_lines_ = std::max<std::size_t>(kWorkerLines, platform_.fd_limit / 16);
-    std::size_t reserve = 16 + most_worker_lines_ + 4 * platform_.peers.size();
-    std::size_t most =
-        platform_.fd_limit > 2 * reserve ? platform_.fd_limit - reserve : platform_.fd_limit / 2;
-    server_ = std::make_unique<HttpServer>(base, platform_.serve_on, most,
+    most_worker_lines_ = std::max<std::size_t>(kWorkerLines, platform_settings_.fd_limit / 16);
+    std::size_t reserve = 16 + most_worker_lines_ + 4 * platform_settings_.peers.size();
+    std::size_t most = platform_settings_.fd_limit > 2 * reserve
+                           ? platform_settings_.fd_limit - reserve
+                           : platform_settings_.fd_limit / 2;
+    server_ = std::make_unique<HttpServer>(base, platform_settings_.serve_on, most,
                                            [this](Input input) { receive(std::move(input)); });
-    peers_ = std::make_unique<PeerLink>(base, platform_.cluster_listen, platform_.peers,
+    peers_ = std::make_unique<PeerLink>(base, platform_settings_.cluster_listen,
+                                        platform_settings_.peers,
                                         [this](PeerInput input) { receive(std::move(input)); });
     // Leases and watches wait behind nothing else.
-    state_lease_ = std::make_unique<HttpClient>(base, platform_.state, 1, kStateTimeout, true);
-    state_watch_ = std::make_unique<HttpClient>(base, platform_.state, 1, kWatchTimeout, true);
-    state_ = std::make_unique<HttpClient>(base, platform_.state, 5, kStateTimeout, true);
-    cloud_ = std::make_unique<HttpClient>(base, platform_.cloud, 2, kCloudTimeout, true);
+    state_lease_ =
+        std::make_unique<HttpClient>(base, platform_settings_.state, 1, kStateTimeout, true);
+    state_watch_ =
+        std::make_unique<HttpClient>(base, platform_settings_.state, 1, kWatchTimeout, true);
+    state_ = std::make_unique<HttpClient>(base, platform_settings_.state, 5, kStateTimeout, true);
+    cloud_ = std::make_unique<HttpClient>(base, platform_settings_.cloud, 2, kCloudTimeout, true);
     wake_.reset(evtimer_new(base, on_wake, this));
     timeval soon{0, 1000};
     evtimer_add(wake_.get(), &soon);
 }
 
 int Process::run() {
-    spdlog::info("{} serves on {}, incarnation {}", platform_.node_name, platform_.serve_on,
-                 platform_.incarnation);
+    spdlog::info("{} serves on {}, incarnation {}", platform_settings_.controller_name,
+                 platform_settings_.serve_on, platform_settings_.incarnation);
     while (event_base_loop(base_.get(), EVLOOP_ONCE) == 0) {
         finish_turn();
     }
@@ -81,7 +85,7 @@
             work_.count_input(input);
         }
         // A call that fails at once is received while the outputs are being carried out.
-        for (Output& output : node_.step(now(), inputs)) {
+        for (Output& output : controller_.step(now(), inputs)) {
             work_.count_output(output);
             route(output);
         }
@@ -106,16 +110,16 @@
     std::visit(
         [this](auto& o) {
             using T = std::decay_t<decltype(o)>;
-            if constexpr (std::is_same_v<T, UserAnswer> || std::is_same_v<T, HeartbeatAnswer>) {
+            if constexpr (std::is_same_v<T, UserResponse> || std::is_same_v<T, HeartbeatResponse>) {
                 server_->answer(o.request, protocol::encode(o));
-            } else if constexpr (std::is_same_v<T, StateCall>) {
+            } else if constexpr (std::is_same_v<T, StoreRequest>) {
                 call_state(std::move(o));
-            } else if constexpr (std::is_same_v<T, CloudCall>) {
+            } else if constexpr (std::is_same_v<T, CloudRequest>) {
                 protocol::HttpCall http = protocol::encode(o);
                 cloud_->send(std::move(http), [this, call = o](int code, std::string_view body) {
-                    receive(protocol::decode_cloud(call, code, body, node_.names()));
+                    receive(protocol::decode_cloud(call, code, body, controller_.names()));
                 });
-            } else if constexpr (std::is_same_v<T, WorkerCall>) {
+            } else if constexpr (std::is_same_v<T, WorkerRequest>) {
                 call_worker(std::move(o));
             } else if constexpr (std::is_same_v<T, PeerSend>) {
                 peers_->send(o);
@@ -128,26 +132,26 @@
         output);
 }
 
-void Process::call_state(StateCall call) {
+void Process::call_state(StoreRequest call) {
     HttpClient* client = state_.get();
-    if (call.verb == StateVerb::changes && call.wait_ms > 0) {
+    if (call.operation == StoreOperation::changes && call.wait_ms > 0) {
         client = state_watch_.get();
     }
-    if (call.verb == StateVerb::lease_touch) {
+    if (call.operation == StoreOperation::lease_renew) {
         client = state_lease_.get();
     }
     protocol::HttpCall http = protocol::encode(call);
-    call.txn = {};  // the answer is understood without it
+    call.transaction = {};  // the answer is understood without it
     client->send(std::move(http), [this, call = std::move(call)](int code, std::string_view body) {
         receive(protocol::decode_state(call, code, body));
     });
 }
 
-void Process::call_worker(WorkerCall call) {
+void Process::call_worker(WorkerRequest call) {
     auto it = workers_.find(call.address);
     if (it == workers_.end()) {
         if (workers_.size() >= most_worker_lines_) {
-            receive(WorkerReply{call.call, 0, std::nullopt});
+            receive(WorkerResponse{call.call, 0, std::nullopt});
             return;
         }
         WorkerLine line;
--- a/src/transport/process.hpp
+++ b/src/transport/process.hpp
@@ -13,7 +13,7 @@
 
 class Process {
   public:
-    Process(Platform platform, Policy policy);
+    Process(PlatformSettings platform_settings, OperatorSettings operator_settings);
     // Runs until killed; returns only when the event loop fails.
     int run();
 
@@ -22,14 +22,14 @@
     void receive(Input input);
     void finish_turn();
     void route(Output& output);
-    void call_state(StateCall call);
-    void call_worker(WorkerCall call);
+    void call_state(StoreRequest call);
+    void call_worker(WorkerRequest call);
     static void on_wake(evutil_socket_t, short, void* self);
     static Ms now();
 
-    Platform platform_;
+    PlatformSettings platform_settings_;
     EventBase base_;
-    Node node_;
+    Controller controller_;
     std::unique_ptr<HttpServer> server_;
     std::unique_ptr<PeerLink> peers_;
     std::unique_ptr<HttpClient> state_lease_;
--- a/src/transport/work_counters.cpp
+++ b/src/transport/work_counters.cpp
@@ -13,7 +13,7 @@
 constexpr std::array<std::string_view, std::variant_size_v<Output>> kOutputNames{
     "user_answer", "heartbeat_answer", "state_call", "cloud_call",
     "worker_call", "peer_out",         "wake_at"};
-constexpr std::array<std::string_view, 8> kStateCallNames{
+constexpr std::array<std::string_view, 8> kStoreRequestNames{
     "get", "list", "transaction", "lease_grant", "lease_renewal", "lease_drop", "proof", "watch"};
 constexpr std::size_t kWatch = 7;
 
@@ -35,9 +35,9 @@
 
 void WorkCounters::count_output(const Output& output) {
     ++outputs_[output.index()];
-    if (const auto* call = std::get_if<StateCall>(&output)) {
-        bool is_watch = call->verb == StateVerb::changes && call->wait_ms > 0;
-        ++state_calls_[is_watch ? kWatch : static_cast<std::size_t>(call->verb)];
+    if (const auto* call = std::get_if<StoreRequest>(&output)) {
+        bool is_watch = call->operation == StoreOperation::changes && call->wait_ms > 0;
+        ++store_requests_[is_watch ? kWatch : static_cast<std::size_t>(call->operation)];
     }
 }
 
@@ -54,7 +54,7 @@
     append(line, "connections", connections - connections_before_);
     append_all(line, kInputNames, inputs_);
     append_all(line, kOutputNames, outputs_);
-    append_all(line, kStateCallNames, state_calls_);
+    append_all(line, kStoreRequestNames, store_requests_);
     loop_turns_ = 0;
     core_rounds_ = 0;
     connections_before_ = connections;
--- a/src/transport/work_counters.hpp
+++ b/src/transport/work_counters.hpp
@@ -26,14 +26,15 @@
     std::optional<std::string> finish_period(Ms now, std::uint64_t connections);
 
   private:
-    static constexpr std::size_t kStateVerbs = 8;  // StateVerb, with proofs apart from watches
+    static constexpr std::size_t kStoreOperations =
+        8;  // StoreOperation, with proofs apart from watches
 
     std::uint64_t loop_turns_ = 0;
     std::uint64_t core_rounds_ = 0;
     std::uint64_t connections_before_ = 0;
     std::array<std::uint64_t, std::variant_size_v<Input>> inputs_{};
     std::array<std::uint64_t, std::variant_size_v<Output>> outputs_{};
-    std::array<std::uint64_t, kStateVerbs> state_calls_{};
+    std::array<std::uint64_t, kStoreOperations> store_requests_{};
     Ms period_start_ = -1;
 };
 
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -20,21 +20,21 @@
     JobSpec s;
     s.id = "j-000412";
     s.team = names.teams.intern("vision");
-    s.lane = names.lanes.intern("train");
+    s.job_class = names.job_classes.intern("train");
     s.shape = JobShape::gang;
     s.priority = Priority::high;
     s.tasks = 16;
     s.each = {8, 1, 64};
-    s.any_kind = false;
-    s.kinds = {names.kinds.intern("g8")};
+    s.any_machine_type = false;
+    s.machine_types = {names.machine_types.intern("g8")};
     s.zone = names.zones.intern("a");
     s.one_zone = true;
     s.spot = true;
     s.image = names.images.intern("img-07");
     s.image_gb = 6.2;
     s.estimate_s = 240;
-    s.checkpoint_s = 30;
-    s.save_s = 4;
+    s.checkpoint_interval_s = 30;
+    s.checkpoint_duration_s = 4;
     s.deadline_s = 900;
     return s;
 }
@@ -51,7 +51,7 @@
     return s;
 }
 
-std::vector<TaskRecord> chunk_tasks() {
+std::vector<TaskRecord> record_tasks() {
     std::vector<TaskRecord> tasks(8);
     for (std::uint32_t i = 0; i < tasks.size(); ++i) {
         tasks[i].attempt = i;
@@ -63,30 +63,30 @@
     return tasks;
 }
 
-Registry registry(Names& names) {
-    Registry r;
-    r.next_hire = 12;
-    r.first_rented = true;
-    Id g8 = names.kinds.intern("g8"), c4 = names.kinds.intern("c4");
+RegistryRecord registry(Names& names) {
+    RegistryRecord r;
+    r.next_request_number = 12;
+    r.first_scale_out_done = true;
+    Id g8 = names.machine_types.intern("g8"), c4 = names.machine_types.intern("c4");
     Id a = names.zones.intern("a"), b = names.zones.intern("b");
     for (int i = 0; i < 40; ++i) {
         r.machines.push_back({"host-000" + std::to_string(100 + i * 3), i % 2 ? g8 : c4,
                               i % 3 ? a : b, i % 5 == 0, i<4, i> 36});
     }
-    r.rentals.push_back({"w5-11", g8, b, true, 12, false});
+    r.scale_out_requests.push_back({"w5-11", g8, b, true, 12, false});
     return r;
 }
 
 PeerHeartbeat heartbeat() {
     PeerHeartbeat f;
-    f.node = "walker-1";
+    f.controller = "walker-1";
     f.incarnation = "walker-1-8fa3";
     f.sequence = 77;
     f.echo = 12;
     f.echo_incarnation = "walker-0-11";
-    f.token = 123456789;
+    f.fencing_token = 123456789;
     f.leader = "walker-2";
-    f.state_quiet_ms = 15;
+    f.store_quiet_ms = 15;
     f.revision = 987654321;
     f.up_ms = 4711;
     f.heartbeat_quiet_ms = -1;
@@ -111,21 +111,21 @@
     EXPECT_EQ(encode_job({gang_spec(names), false}, names), f["gang"]);
     EXPECT_EQ(encode_job({gang_spec(names), true}, names), f["gang_cancelled"]);
     EXPECT_EQ(encode_job({batch_spec(names), false}, names), f["batch"]);
-    EXPECT_EQ(encode_chunk(chunk_tasks()), f["chunk"]);
+    EXPECT_EQ(encode_placement_record(record_tasks()), f["chunk"]);
     EXPECT_EQ(encode_ended({false, 16}), f["ended_done"]);
     EXPECT_EQ(encode_ended({true, 100}), f["ended_cancelled"]);
     EXPECT_EQ(encode_registry(registry(names), names), f["registry"]);
     EXPECT_EQ(encode_leader({"walker-2", "walker-2-77aa"}), f["leader"]);
-    Kind kind;
-    kind.id = names.kinds.intern("g8");
-    kind.size = {96, 8, 768};
-    kind.cache_gb = 200;
-    kind.fetch_gb_per_s = 1;
-    kind.price = 12;
-    kind.spot_price = 4.5;
-    kind.boot_s = 45;
-    kind.zones = {names.zones.intern("a"), names.zones.intern("b")};
-    EXPECT_EQ(encode_kinds({kind}, names), f["kinds"]);
+    MachineType machine_type;
+    machine_type.id = names.machine_types.intern("g8");
+    machine_type.size = {96, 8, 768};
+    machine_type.cache_gb = 200;
+    machine_type.fetch_gb_per_s = 1;
+    machine_type.price = 12;
+    machine_type.spot_price = 4.5;
+    machine_type.boot_s = 45;
+    machine_type.zones = {names.zones.intern("a"), names.zones.intern("b")};
+    EXPECT_EQ(encode_machine_types({machine_type}, names), f["kinds"]);
 }
 
 // New reads old.
@@ -138,21 +138,21 @@
     EXPECT_EQ(encode_job(*gang, names), f["gang"]);
     auto batch = decode_job("j-000413", f["batch"], names);
     ASSERT_TRUE(batch);
-    EXPECT_EQ(batch->spec.shape, JobShape::batch);
+    EXPECT_EQ(batch->spec.shape, JobShape::array);
     EXPECT_TRUE(batch->spec.spread);
     EXPECT_TRUE(decode_job("j-000412", f["gang_cancelled"], names)->cancelled);
     std::vector<TaskRecord> tasks(8);
-    ASSERT_TRUE(decode_chunk(f["chunk"], tasks));
+    ASSERT_TRUE(decode_placement_record(f["chunk"], tasks));
     EXPECT_EQ(tasks[1].done, true);
     EXPECT_EQ(tasks[6].machine, "host-000236");
     EXPECT_EQ(tasks[6].attempt, 6U);
     auto held = decode_registry(f["registry"], names);
     ASSERT_TRUE(held);
     EXPECT_EQ(held->machines.size(), 40U);
-    EXPECT_EQ(held->rentals.at(0).name, "w5-11");
+    EXPECT_EQ(held->scale_out_requests.at(0).name, "w5-11");
     EXPECT_TRUE(decode_ended(f["ended_cancelled"])->cancelled);
-    EXPECT_EQ(decode_leader(f["leader"])->node, "walker-2");
-    EXPECT_EQ(decode_kinds(f["kinds"], names).size(), 1U);
+    EXPECT_EQ(decode_leader(f["leader"])->controller, "walker-2");
+    EXPECT_EQ(decode_machine_types(f["kinds"], names).size(), 1U);
 }
 
 // Version 0.3.0 asks a job's record for `n` and drops what lacks it; a service has none, so that it
@@ -177,8 +177,8 @@
     Names names;
     JobSpec spec = gang_spec(names);
     for (int i = 0; i < 60; ++i) {
-        spec.kinds.push_back(
-            names.kinds.intern("a-machine-type-with-a-long-name-" + std::to_string(i)));
+        spec.machine_types.push_back(
+            names.machine_types.intern("a-machine-type-with-a-long-name-" + std::to_string(i)));
     }
     Json full = encode_job({spec, true}, names);
     Json record = encode_cancelled_job(spec, names);
@@ -189,7 +189,7 @@
     ASSERT_TRUE(back);
     EXPECT_TRUE(back->cancelled);
     EXPECT_EQ(back->spec.tasks, spec.tasks);
-    EXPECT_EQ(back->spec.chunk, spec.chunk);
+    EXPECT_EQ(back->spec.tasks_per_record, spec.tasks_per_record);
 }
 
 // Keys that version 0.3.0 does not know are none that it would read as something else.
@@ -197,7 +197,7 @@
     for (const std::string& key : {keys::registry_part(1), keys::announcement("walker-1")}) {
         EXPECT_EQ(key.rfind(keys::kRoot, 0), 0U) << "watched like all others";
         for (const std::string& known : {keys::kJobs, keys::kEnded, keys::kTasks, keys::kRegistry,
-                                         keys::kLeader, keys::kKinds}) {
+                                         keys::kLeader, keys::kMachineTypes}) {
             EXPECT_NE(key.rfind(known, 0), 0U) << key << " begins like " << known;
         }
     }
@@ -205,14 +205,14 @@
 
 TEST(Compatibility, AnnouncedLevelsOnlyRise) {
     Names names;
-    View view(names);
-    EXPECT_TRUE(view.apply({keys::announcement("n1"), encode_announcement(2), 7}));
-    EXPECT_FALSE(view.apply({keys::announcement("n1"), encode_announcement(1), 6}));
-    EXPECT_EQ(view.announced_levels.at("n1").level, 2U);
-    EXPECT_TRUE(view.apply({keys::announcement("n1"), encode_announcement(1), 9}));
-    EXPECT_EQ(view.announced_levels.at("n1").level, 2U);
-    EXPECT_FALSE(view.apply({keys::announcement("n1"), Json("damaged"), 10}));
-    EXPECT_EQ(view.announced_levels.at("n1").level, 2U);
+    StoreReplica replica(names);
+    EXPECT_TRUE(replica.apply({keys::announcement("n1"), encode_announcement(2), 7}));
+    EXPECT_FALSE(replica.apply({keys::announcement("n1"), encode_announcement(1), 6}));
+    EXPECT_EQ(replica.announced_levels.at("n1").level, 2U);
+    EXPECT_TRUE(replica.apply({keys::announcement("n1"), encode_announcement(1), 9}));
+    EXPECT_EQ(replica.announced_levels.at("n1").level, 2U);
+    EXPECT_FALSE(replica.apply({keys::announcement("n1"), Json("damaged"), 10}));
+    EXPECT_EQ(replica.announced_levels.at("n1").level, 2U);
 }
 
 }  // namespace
