--- a/src/bookkeeping/cluster_state.hpp
+++ b/src/bookkeeping/cluster_state.hpp
@@ -11,7 +11,7 @@
 #include <set>
 
 #include "bookkeeping/records.hpp"
-#include "bookkeeping/view.hpp"
+#include "bookkeeping/stored_values.hpp"
 
 namespace walkford {
 
@@ -93,7 +93,9 @@
     Ms replace_by = -1;         // gang: members lost before it began are to be replaced until then
 
     // Its priority, or what it has risen to by waiting.
-    int effective_priority() const { return std::max(static_cast<int>(spec.priority), aged_priority); }
+    int effective_priority() const {
+        return std::max(static_cast<int>(spec.priority), aged_priority);
+    }
     std::uint32_t waiting() const {
         return spec.tasks - next_unassigned + static_cast<std::uint32_t>(retry_queue.size());
     }
--- a/src/coordination/cloud_manager.cpp
+++ b/src/coordination/cloud/cloud_manager.cpp
@@ -1,10 +1,10 @@
-#include "coordination/cloud_manager.hpp"
+#include "coordination/cloud/cloud_manager.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/leader.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
@@ -138,7 +138,7 @@
     c.count = it->count;
     (void)now;
     context_.controller.cloud.call(std::move(c), [this, alive = std::weak_ptr<bool>(context_.alive),
-                                            name](Ms at, const CloudResponse& r) {
+                                                  name](Ms at, const CloudResponse& r) {
         if (alive.expired()) {
             return;
         }
@@ -210,10 +210,11 @@
         return;
     }
     m.releasing = true;
-    spdlog::info(
-        "give back {} ({}{}): {}", m.name,
-        m.machine_type == kNone ? "?" : context_.controller.names.machine_types.name(m.machine_type),
-        m.spot ? ", spot" : "", why);
+    spdlog::info("give back {} ({}{}): {}", m.name,
+                 m.machine_type == kNone
+                     ? "?"
+                     : context_.controller.names.machine_types.name(m.machine_type),
+                 m.spot ? ", spot" : "", why);
     std::string name = m.name;
     registry_.mark_releasing(name);
     if (!m.registered) {
@@ -236,25 +237,26 @@
             c.names.push_back(name);
         }
     }
-    context_.controller.cloud.call(CloudRequest(c), [this, alive = std::weak_ptr<bool>(context_.alive),
-                                               names = c.names](Ms at, const CloudResponse& r) {
-        if (alive.expired()) {
-            return;
-        }
-        release_call_open_ = false;
-        if (r.status != 200) {
-            release_retry_at_ = at + 1200;
-            return;
-        }
-        for (const std::string& name : names) {
-            to_release_.erase(name);
-            released_[name] = at;
-            Id id = context_.cluster.find_machine(name);
-            if (id != kNone) {
-                removed(at, id, "given back");
+    context_.controller.cloud.call(
+        CloudRequest(c), [this, alive = std::weak_ptr<bool>(context_.alive), names = c.names](
+                             Ms at, const CloudResponse& r) {
+            if (alive.expired()) {
+                return;
             }
-        }
-    });
+            release_call_open_ = false;
+            if (r.status != 200) {
+                release_retry_at_ = at + 1200;
+                return;
+            }
+            for (const std::string& name : names) {
+                to_release_.erase(name);
+                released_[name] = at;
+                Id id = context_.cluster.find_machine(name);
+                if (id != kNone) {
+                    removed(at, id, "given back");
+                }
+            }
+        });
 }
 
 void CloudManager::removed(Ms now, Id machine, const char* why) {
@@ -287,25 +289,26 @@
     CloudRequest c;
     c.operation = CloudOperation::list;
     c.after = after;
-    context_.controller.cloud.call(std::move(c), [this, alive = std::weak_ptr<bool>(context_.alive)](
-                                               Ms at, const CloudResponse& r) {
-        if (alive.expired()) {
-            return;
-        }
-        if (r.status != 200) {
+    context_.controller.cloud.call(
+        std::move(c),
+        [this, alive = std::weak_ptr<bool>(context_.alive)](Ms at, const CloudResponse& r) {
+            if (alive.expired()) {
+                return;
+            }
+            if (r.status != 200) {
+                listing_ = false;
+                list_at_ = at + 1000;
+                return;
+            }
+            listed_.insert(listed_.end(), r.machines.begin(), r.machines.end());
+            if (r.more && !r.machines.empty()) {
+                list(at, r.machines.back().name);
+                return;
+            }
             listing_ = false;
-            list_at_ = at + 1000;
-            return;
-        }
-        listed_.insert(listed_.end(), r.machines.begin(), r.machines.end());
-        if (r.more && !r.machines.empty()) {
-            list(at, r.machines.back().name);
-            return;
-        }
-        listing_ = false;
-        list_at_ = at + kListEvery;
-        take_list(at);
-    });
+            list_at_ = at + kListEvery;
+            take_list(at);
+        });
 }
 
 void CloudManager::adopt(Ms now) {
@@ -460,35 +463,37 @@
     CloudRequest c;
     c.operation = CloudOperation::list_machine_types;
     (void)now;
-    context_.controller.cloud.call(std::move(c), [this, alive = std::weak_ptr<bool>(context_.alive)](
-                                               Ms at, const CloudResponse& r) {
-        if (alive.expired()) {
-            return;
-        }
-        reading_machine_types_ = false;
-        if (r.status != 200 || r.machine_types.empty()) {
-            read_machine_types_at_ = at + 1500;
-            return;
-        }
-        read_machine_types_at_ = at + kMachineTypesInterval;
-        bool first = context_.controller.machine_types.empty();
-        context_.controller.machine_types = r.machine_types;
-        context_.cluster.set_machine_types(r.machine_types);
-        if (first) {
-            context_.place_now = true;
-        }
-        // Kept durably (at nominal prices, which move too often to be written): a controller
-        // that starts while the cloud is out can still judge submissions.
-        if (context_.controller.replica.machine_types) {
-            return;
-        }
-        Transaction transaction;
-        transaction.comparisons = {{keys::kLeader, context_.fencing_token}};
-        transaction.writes = {
-            {keys::kMachineTypes, encode_machine_types(r.machine_types, context_.controller.names), 0}};
-        context_.controller.store.transaction(RequestPriority::progress, std::move(transaction),
-                                        [](Ms, const StoreResponse&) {});
-    });
+    context_.controller.cloud.call(
+        std::move(c),
+        [this, alive = std::weak_ptr<bool>(context_.alive)](Ms at, const CloudResponse& r) {
+            if (alive.expired()) {
+                return;
+            }
+            reading_machine_types_ = false;
+            if (r.status != 200 || r.machine_types.empty()) {
+                read_machine_types_at_ = at + 1500;
+                return;
+            }
+            read_machine_types_at_ = at + kMachineTypesInterval;
+            bool first = context_.controller.machine_types.empty();
+            context_.controller.machine_types = r.machine_types;
+            context_.cluster.set_machine_types(r.machine_types);
+            if (first) {
+                context_.place_now = true;
+            }
+            // Kept durably (at nominal prices, which move too often to be written): a controller
+            // that starts while the cloud is out can still judge submissions.
+            if (context_.controller.replica.machine_types) {
+                return;
+            }
+            Transaction transaction;
+            transaction.comparisons = {{keys::kLeader, context_.fencing_token}};
+            transaction.writes = {{keys::kMachineTypes,
+                                   encode_machine_types(r.machine_types, context_.controller.names),
+                                   0}};
+            context_.controller.store.transaction(RequestPriority::progress, std::move(transaction),
+                                                  [](Ms, const StoreResponse&) {});
+        });
 }
 
 void CloudManager::tick(Ms now) {
--- a/src/coordination/cloud_manager.hpp
+++ b/src/coordination/cloud/cloud_manager.hpp
@@ -1,9 +1,9 @@
 // The leader's talk with the cloud, and the registry of machines held.
 #pragma once
 
-#include "coordination/core.hpp"
-#include "coordination/registry_store.hpp"
-#include "coordination/term_fwd.hpp"
+#include "coordination/cloud/machine_registry.hpp"
+#include "coordination/context/controller_context.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
--- a/src/coordination/registry_store.cpp
+++ b/src/coordination/cloud/machine_registry.cpp
@@ -1,10 +1,10 @@
-#include "coordination/registry_store.hpp"
+#include "coordination/cloud/machine_registry.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/leader.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
@@ -284,8 +284,8 @@
         tell_waiting(now);
         return;
     }
-    due.resize(
-        std::min<std::size_t>(due.size(), context_.controller.store.limits().transaction_operations()));
+    due.resize(std::min<std::size_t>(due.size(),
+                                     context_.controller.store.limits().transaction_operations()));
     send(due);
 }
 
@@ -315,12 +315,12 @@
     }
     writing_ = true;
     context_.controller.store.transaction(RequestPriority::placement, std::move(transaction),
-                                    [this, alive = std::weak_ptr<bool>(context_.alive), sent](
-                                        Ms at, const StoreResponse& reply) {
-                                        if (!alive.expired()) {
-                                            written(at, sent, reply);
-                                        }
-                                    });
+                                          [this, alive = std::weak_ptr<bool>(context_.alive), sent](
+                                              Ms at, const StoreResponse& reply) {
+                                              if (!alive.expired()) {
+                                                  written(at, sent, reply);
+                                              }
+                                          });
 }
 
 void MachineRegistry::written(Ms now, const std::vector<std::uint32_t>& sent,
--- a/src/coordination/registry_store.hpp
+++ b/src/coordination/cloud/machine_registry.hpp
@@ -9,8 +9,8 @@
 #include <functional>
 
 #include "bookkeeping/registry_record.hpp"
-#include "coordination/core.hpp"
-#include "coordination/term_fwd.hpp"
+#include "coordination/context/controller_context.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
--- a/src/coordination/node.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -1,4 +1,4 @@
-#include "coordination/node.hpp"
+#include "coordination/controller/controller.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -32,7 +32,8 @@
 Controller::Controller(PlatformSettings platform_settings, OperatorSettings operator_settings,
                        std::uint64_t seed)
     : context_(std::move(platform_settings), std::move(operator_settings), seed),
-      watcher_(context_),
+      watcher_(context_.store, context_.replica, context_.out,
+               [this](Ms most) { return context_.jitter(most); }),
       leadership_(context_, watcher_),
       relay_(context_, watcher_),
       feature_level_(context_),
--- a/src/coordination/node.hpp
+++ b/src/coordination/controller/controller.hpp
@@ -2,12 +2,12 @@
 // and answer; it knows no socket and no clock, and is the same every time for the same inputs.
 #pragma once
 
-#include "coordination/feature_level.hpp"
-#include "coordination/leader.hpp"
-#include "coordination/leadership.hpp"
-#include "coordination/lease_relay.hpp"
-#include "coordination/peer_monitor.hpp"
-#include "coordination/user_requests.hpp"
+#include "coordination/controller/leader.hpp"
+#include "coordination/controller/user_requests.hpp"
+#include "coordination/leadership/feature_level.hpp"
+#include "coordination/leadership/leadership.hpp"
+#include "coordination/leadership/lease_relay.hpp"
+#include "coordination/leadership/peer_monitor.hpp"
 
 namespace walkford {
 
--- a/src/coordination/user_requests.cpp
+++ b/src/coordination/controller/user_requests.cpp
@@ -1,4 +1,4 @@
-#include "coordination/user_requests.hpp"
+#include "coordination/controller/user_requests.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/user_requests.hpp
+++ b/src/coordination/controller/user_requests.hpp
@@ -1,7 +1,8 @@
 // The users' dialogue: submissions, polls and cancellations, on every node.
 #pragma once
 
-#include "coordination/view_keeper.hpp"
+#include "coordination/context/controller_context.hpp"
+#include "coordination/store/store_watcher.hpp"
 
 namespace walkford {
 
--- a/src/coordination/feature_level.cpp
+++ b/src/coordination/leadership/feature_level.cpp
@@ -1,4 +1,4 @@
-#include "coordination/feature_level.hpp"
+#include "coordination/leadership/feature_level.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/feature_level.hpp
+++ b/src/coordination/leadership/feature_level.hpp
@@ -7,7 +7,7 @@
 // Forms above the cluster's level are read, but not written.
 #pragma once
 
-#include "coordination/core.hpp"
+#include "coordination/context/controller_context.hpp"
 
 namespace walkford {
 
--- a/src/coordination/leadership.cpp
+++ b/src/coordination/leadership/leadership.cpp
@@ -1,4 +1,4 @@
-#include "coordination/leadership.hpp"
+#include "coordination/leadership/leadership.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/leadership.hpp
+++ b/src/coordination/leadership/leadership.hpp
@@ -1,7 +1,8 @@
 // Who leads: a key on a lease of the state service. Its stamp is the token that workers obey.
 #pragma once
 
-#include "coordination/view_keeper.hpp"
+#include "coordination/context/controller_context.hpp"
+#include "coordination/store/store_watcher.hpp"
 
 namespace walkford {
 
--- a/src/coordination/lease_relay.cpp
+++ b/src/coordination/leadership/lease_relay.cpp
@@ -1,4 +1,4 @@
-#include "coordination/lease_relay.hpp"
+#include "coordination/leadership/lease_relay.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/lease_relay.hpp
+++ b/src/coordination/leadership/lease_relay.hpp
@@ -9,7 +9,8 @@
 // (docs/design.md has the proof.)
 #pragma once
 
-#include "coordination/view_keeper.hpp"
+#include "coordination/context/controller_context.hpp"
+#include "coordination/store/store_watcher.hpp"
 
 namespace walkford {
 
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/leadership/peer_monitor.cpp
@@ -1,4 +1,4 @@
-#include "coordination/peer_monitor.hpp"
+#include "coordination/leadership/peer_monitor.hpp"
 
 #include <algorithm>
 
--- a/src/coordination/peer_monitor.hpp
+++ b/src/coordination/leadership/peer_monitor.hpp
@@ -5,7 +5,7 @@
 #include <deque>
 #include <map>
 
-#include "coordination/io.hpp"
+#include "coordination/messages/inputs.hpp"
 
 namespace walkford {
 
--- a/src/coordination/class_capacity.cpp
+++ b/src/coordination/placement/class_capacity.cpp
@@ -1,8 +1,8 @@
-#include "coordination/class_capacity.hpp"
+#include "coordination/placement/class_capacity.hpp"
 
 #include <algorithm>
 
-#include "coordination/leader.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
@@ -84,7 +84,8 @@
                                           machine_group.spot, free) -
                       ClusterState::slots(other, machine_group.machine_type, machine_group.zone,
                                           machine_group.spot, free - job.spec.each);
-        if (lost <= 0 || free_slots_[i] - lost >= context_.controller.operator_settings.keep_slots) {
+        if (lost <= 0 ||
+            free_slots_[i] - lost >= context_.controller.operator_settings.keep_slots) {
             continue;
         }
         // Only from those who have somewhere else to go; for those with a tighter aim, or who have
--- a/src/coordination/class_capacity.hpp
+++ b/src/coordination/placement/class_capacity.hpp
@@ -4,9 +4,9 @@
 
 #include <set>
 
-#include "coordination/core.hpp"
-#include "coordination/free_capacity.hpp"
-#include "coordination/term_fwd.hpp"
+#include "bookkeeping/free_capacity.hpp"
+#include "coordination/context/controller_context.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
--- a/src/coordination/gang_reservation.cpp
+++ b/src/coordination/placement/gang_reservation.cpp
@@ -1,10 +1,10 @@
-#include "coordination/gang_reservation.hpp"
+#include "coordination/placement/gang_reservation.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/leader.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
@@ -25,7 +25,8 @@
     const JobSpec& s = cluster.jobs[ref.job].spec;
     const Task& t = context_.cluster.task(ref);
     if (t.stopping) {
-        return now + to_ms(s.checkpoint_duration_s + context_.controller.platform_settings.report_s);
+        return now +
+               to_ms(s.checkpoint_duration_s + context_.controller.platform_settings.report_s);
     }
     if (s.service()) {
         return now + kServiceEnd;
--- a/src/coordination/gang_reservation.hpp
+++ b/src/coordination/placement/gang_reservation.hpp
@@ -3,8 +3,8 @@
 // every place that frees up, and a gang of eight waits for ever.
 #pragma once
 
-#include "coordination/core.hpp"
-#include "coordination/term_fwd.hpp"
+#include "coordination/context/controller_context.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
--- a/src/coordination/placer.cpp
+++ b/src/coordination/placement/placer.cpp
@@ -1,4 +1,4 @@
-#include "coordination/placer.hpp"
+#include "coordination/placement/placer.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <cmath>
 
-#include "coordination/leader.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
@@ -438,8 +438,8 @@
                       [&](Id id) { return !zone_failover_.open(cluster.machines[id].zone); });
     }
     // The budget keeps heartbeats and leases answered in time when thousands of jobs wait.
-    auto deadline =
-        context_.controller.stopwatch() + to_ms(context_.controller.operator_settings.round_budget_ms);
+    auto deadline = context_.controller.stopwatch() +
+                    to_ms(context_.controller.operator_settings.round_budget_ms);
     looked_ = 0;
     while (cursor_ < order_.size()) {
         place_job(now, order_[cursor_++], schedulable);
--- a/src/coordination/placer.hpp
+++ b/src/coordination/placement/placer.hpp
@@ -2,18 +2,17 @@
 // when all of it fits at once.
 #pragma once
 
-#include "coordination/class_capacity.hpp"
-#include "coordination/core.hpp"
-#include "coordination/free_capacity.hpp"
-#include "coordination/gang_reservation.hpp"
-#include "coordination/preemption.hpp"
-#include "coordination/term_fwd.hpp"
-#include "coordination/zone_failover_manager.hpp"
+#include "bookkeeping/free_capacity.hpp"
+#include "coordination/context/controller_context.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
+#include "coordination/placement/class_capacity.hpp"
+#include "coordination/placement/gang_reservation.hpp"
+#include "coordination/placement/preemption.hpp"
+#include "coordination/workers/worker_manager.hpp"
+#include "coordination/zone_failover/zone_failover_manager.hpp"
 
 namespace walkford {
 
-class WorkerManager;
-
 class Placer {
   public:
     Placer(LeaderContext& context, TaskLifecycle& lifecycle, ZoneFailoverManager& zone_failover)
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/placement/preemption.cpp
@@ -1,10 +1,10 @@
-#include "coordination/preemption.hpp"
+#include "coordination/placement/preemption.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/leader.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
@@ -204,7 +204,8 @@
     }
     spdlog::info("{} takes room on {}: {} tasks are stopped", s.id, m.name, best_victims.size());
     m.reserved_for = id;
-    m.reserved_until = now + to_ms(save + 2 * context_.controller.platform_settings.report_s) + 3000;
+    m.reserved_until =
+        now + to_ms(save + 2 * context_.controller.platform_settings.report_s) + 3000;
     m.reservation_ready_at = now;
     for (TaskRef ref : best_victims) {
         lifecycle_.stop(ref, cluster.jobs[ref.job].spec.checkpoint_duration_s + 1, now, true);
--- a/src/coordination/preemption.hpp
+++ b/src/coordination/placement/preemption.hpp
@@ -2,7 +2,7 @@
 // that has waited long beside replicas that never end.
 #pragma once
 
-#include "coordination/class_capacity.hpp"
+#include "coordination/placement/class_capacity.hpp"
 
 namespace walkford {
 
--- a/src/coordination/scaler.cpp
+++ b/src/coordination/scaling/scaler.cpp
@@ -1,12 +1,13 @@
-#include "coordination/scaler.hpp"
+#include "coordination/scaling/scaler.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "coordination/leader.hpp"
-#include "coordination/zone_failover_manager.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
+#include "coordination/placement/placer.hpp"
+#include "coordination/zone_failover/zone_failover_manager.hpp"
 
 namespace walkford {
 
@@ -24,8 +25,9 @@
     return m.registered && m.reported && !m.terminated && !m.releasing && !m.quarantined &&
            m.reclaim_at < 0 && m.cloud != CloudStatus::failed && m.unacknowledged_answers == 0 &&
            !zone_failover_.lost(m.zone) &&
-           (context_.relayed(m) ||
-            now < m.last_heartbeat + to_ms(context_.controller.platform_settings.lease_s) + kBackWithin);
+           (context_.relayed(m) || now < m.last_heartbeat +
+                                             to_ms(context_.controller.platform_settings.lease_s) +
+                                             kBackWithin);
 }
 
 // Machines that fall silent by the dozen hang or stand behind a cut, and go on: a second fleet in
@@ -593,8 +595,8 @@
         std::size_t had = bins_.size();
         scale_out_by_utilization(now, cloud);
         if (!left_.empty() || bins_.size() > had) {
-            trial_pack(now,
-                       context_.controller.operator_settings.scale_out_unplaceable ? &cloud : nullptr);
+            trial_pack(now, context_.controller.operator_settings.scale_out_unplaceable ? &cloud
+                                                                                        : nullptr);
         }
     }
     scale_in(now, cloud);
--- a/src/coordination/scaler.hpp
+++ b/src/coordination/scaling/scaler.hpp
@@ -2,15 +2,13 @@
 // temporary machine below the low mark. Exceptions are named in docs/design.md.
 #pragma once
 
-#include "coordination/core.hpp"
-#include "coordination/term_fwd.hpp"
+#include "coordination/cloud/cloud_manager.hpp"
+#include "coordination/leader/leader_context.hpp"
+#include "coordination/workers/worker_manager.hpp"
+#include "coordination/zone_failover/zone_failover_manager.hpp"
 
 namespace walkford {
 
-class WorkerManager;
-class CloudManager;
-class ZoneFailoverManager;
-
 class Scaler {
   public:
     Scaler(LeaderContext& context, const ZoneFailoverManager& zone_failover)
--- /dev/null
+++ b/src/coordination/settings/store_limits.hpp
@@ -0,0 +1,16 @@
+// The limits that the state service sets to its clients.
+#pragma once
+
+#include <cstdint>
+
+namespace walkford {
+
+// Limits of the state service, for all controllers together.
+struct StoreLimits {
+    double requests_per_s = 100;
+    double writes_per_s = 20;
+    double value_kb = 4;
+    std::uint32_t transaction_operations = 8;
+};
+
+}  // namespace walkford
--- a/src/coordination/state_limits.hpp
+++ b/src/coordination/store/effective_store_limits.hpp
@@ -1,5 +1,5 @@
-// The state service's limits: those in the settings, those that will replace them at a moment
-// nobody announces, and which of them to obey.
+// Which limits of the state service to obey: those in the settings, or those that will replace them
+// at a moment nobody announces.
 #pragma once
 
 #include <algorithm>
@@ -9,16 +9,10 @@
 #include <optional>
 
 #include "bookkeeping/types.hpp"
+#include "coordination/settings/store_limits.hpp"
 
 namespace walkford {
 
-struct StoreLimits {
-    double requests_per_s = 100;
-    double writes_per_s = 20;
-    double value_kb = 4;
-    std::uint32_t transaction_operations = 8;
-};
-
 // Sizes obey the smaller of both from the start: what is small enough for the later limits is valid
 // under the earlier ones too. The rate falls to the later one once refusals show that it is in
 // force. One refusal shows nothing, since other controllers share the allowance; several within a
--- a/src/coordination/state_client.cpp
+++ b/src/coordination/store/store_client.cpp
@@ -1,4 +1,4 @@
-#include "coordination/state_client.hpp"
+#include "coordination/store/store_client.hpp"
 
 #include <spdlog/fmt/ranges.h>
 #include <spdlog/spdlog.h>
--- a/src/coordination/state_client.hpp
+++ b/src/coordination/store/store_client.hpp
@@ -6,8 +6,9 @@
 #include <deque>
 #include <functional>
 
-#include "coordination/io.hpp"
-#include "coordination/policy.hpp"
+#include "coordination/messages/inputs.hpp"
+#include "coordination/messages/outputs.hpp"
+#include "coordination/store/effective_store_limits.hpp"
 
 namespace walkford {
 
--- a/src/bookkeeping/view.cpp
+++ b/src/coordination/store/store_replica.cpp
@@ -1,4 +1,4 @@
-#include "bookkeeping/view.hpp"
+#include "coordination/store/store_replica.hpp"
 
 #include <algorithm>
 
--- a/src/coordination/view_keeper.cpp
+++ b/src/coordination/store/store_watcher.cpp
@@ -1,4 +1,4 @@
-#include "coordination/view_keeper.hpp"
+#include "coordination/store/store_watcher.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -49,17 +49,17 @@
     read_prefix_ = 0;
     read_after_.clear();
     read_revision_.reset();
-    context_.replica.begin_reading();
+    replica_.begin_reading();
     read_next(now);
 }
 
 void StoreWatcher::read_next(Ms) {
-    context_.store.list(
+    client_.list(
         reading_prefixes().at(read_prefix_), read_after_,
         [this](Ms now, const StoreResponse& r) {
             if (r.status != 200) {
                 reading_ = false;
-                read_at_ = now + 200 + context_.jitter(200);
+                read_at_ = now + 200 + jitter_(200);
                 return;
             }
             // Pages are read one after the other; changes are followed from before the first.
@@ -69,7 +69,7 @@
                 read_revision_ = r.revision;
             }
             for (const StoreEntry& row : r.rows) {
-                context_.replica.apply(row);
+                replica_.apply(row);
             }
             if (r.more && !r.rows.empty()) {
                 read_after_ = r.rows.back().key;
@@ -81,27 +81,27 @@
                 read_next(now);
                 return;
             }
-            context_.replica.end_reading(*read_revision_);
+            replica_.end_reading(*read_revision_);
             reading_ = false;
             ready_ = true;
-            spdlog::info("state read: {} live jobs, revision {}", context_.replica.jobs().size(),
-                         context_.replica.revision());
+            spdlog::info("state read: {} live jobs, revision {}", replica_.jobs().size(),
+                         replica_.revision());
             if (on_change) {
                 on_change(now, "");
             }
             watch(now);
         },
-        context_.out);
+        out_);
 }
 
 void StoreWatcher::apply(Ms now, const StoreResponse& r) {
     std::vector<std::string> changed;
     for (const StoreEntry& row : r.rows) {
-        if (context_.replica.apply(row)) {
+        if (replica_.apply(row)) {
             changed.push_back(row.key);
         }
     }
-    context_.replica.advance(r.revision);
+    replica_.advance(r.revision);
     if (!on_change) {
         return;
     }
@@ -112,8 +112,8 @@
 
 void StoreWatcher::watch(Ms) {
     watching_ = true;
-    context_.store.changes(
-        context_.replica.revision(), kWatchFor,
+    client_.changes(
+        replica_.revision(), kWatchFor,
         [this, reading = readings_](Ms now, const StoreResponse& r) {
             if (reading != readings_) {
                 return;
@@ -128,10 +128,10 @@
                 read_at_ = now;
                 fail_waiting(now);
             } else {
-                watch_at_ = now + 250 + context_.jitter(250);
+                watch_at_ = now + 250 + jitter_(250);
             }
         },
-        context_.out);
+        out_);
 }
 
 void StoreWatcher::barrier(Ms now, BarrierCallback then) {
@@ -150,8 +150,8 @@
     barrier_sent_ = now;
     auto served = std::make_shared<std::vector<BarrierCallback>>(std::move(waiting_));
     waiting_.clear();
-    context_.store.changes(
-        context_.replica.revision(), 0,
+    client_.changes(
+        replica_.revision(), 0,
         [this, served, sent = now, reading = readings_](Ms at, const StoreResponse& r) {
             barrier_open_ = false;
             bool ok = r.status == 200 && ready_ && reading == readings_;
@@ -166,7 +166,7 @@
                 then(at, ok);
             }
         },
-        context_.out);
+        out_);
 }
 
 void StoreWatcher::fail_waiting(Ms now) {
--- a/src/coordination/view_keeper.hpp
+++ b/src/coordination/store/store_watcher.hpp
@@ -1,14 +1,22 @@
 // Keeps the node's view up to date (a reading, then a watch) and proves how fresh it is.
 #pragma once
 
-#include "coordination/core.hpp"
+#include <functional>
+#include <memory>
+
+#include "coordination/store/store_client.hpp"
+#include "coordination/store/store_replica.hpp"
 
 namespace walkford {
 
 class StoreWatcher {
   public:
     using BarrierCallback = std::function<void(Ms, bool)>;
-    explicit StoreWatcher(ControllerContext& context) : context_(context) {}
+    // Draws a random delay between 0 and `most`, so that controllers don't retry in step.
+    using Jitter = std::function<Ms(Ms most)>;
+    // Requests are appended to `out`; all references must outlive the watcher.
+    StoreWatcher(StoreClient& client, StoreReplica& replica, Outputs& out, Jitter jitter)
+        : client_(client), replica_(replica), out_(out), jitter_(std::move(jitter)) {}
 
     void tick(Ms now);
     // Calls back once the view is at least as new as this moment, or with false when that can't be
@@ -32,7 +40,10 @@
     void apply(Ms now, const StoreResponse& r);
     void fail_waiting(Ms now);
 
-    ControllerContext& context_;
+    StoreClient& client_;
+    StoreReplica& replica_;
+    Outputs& out_;
+    Jitter jitter_;
     bool ready_ = false;
     bool reading_ = false;
     std::size_t read_prefix_ = 0;
--- a/src/coordination/term_fwd.hpp
+++ /dev/null
@@ -1,6 +0,0 @@
-#pragma once
-
-namespace walkford {
-struct LeaderContext;
-class TaskLifecycle;
-}  // namespace walkford
--- a/src/coordination/worker_manager.cpp
+++ b/src/coordination/workers/worker_manager.cpp
@@ -1,10 +1,10 @@
-#include "coordination/worker_manager.hpp"
+#include "coordination/workers/worker_manager.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/leader.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
@@ -249,8 +249,8 @@
     c.fencing_token = context_.fencing_token;
     c.incarnation = m.incarnation;
     c.commands = std::move(list);
-    c.call = context_.controller.workers.open([this, alive = std::weak_ptr<bool>(context_.alive), id](
-                                            Ms at, const WorkerResponse& r) {
+    c.call = context_.controller.workers.open([this, alive = std::weak_ptr<bool>(context_.alive),
+                                               id](Ms at, const WorkerResponse& r) {
         if (alive.expired()) {
             return;
         }
--- a/src/coordination/worker_manager.hpp
+++ b/src/coordination/workers/worker_manager.hpp
@@ -1,8 +1,8 @@
 // The leader's talk with workers: reports in, orders out.
 #pragma once
 
-#include "coordination/core.hpp"
-#include "coordination/term_fwd.hpp"
+#include "coordination/context/controller_context.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
--- a/src/coordination/worker_reports.cpp
+++ b/src/coordination/workers/worker_status.cpp
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-#include "coordination/leader.hpp"
-#include "coordination/worker_manager.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
+#include "coordination/workers/worker_manager.hpp"
 
 namespace walkford {
 
--- a/src/coordination/zone_failover/displaced_work.hpp
+++ b/src/coordination/zone_failover/displaced_work.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "bookkeeping/cluster_state.hpp"
-#include "coordination/zone_failover/settings.hpp"
+#include "coordination/settings/zone_failover_settings.hpp"
 
 namespace walkford {
 
--- a/src/coordination/zone_failover/flap_penalty.hpp
+++ b/src/coordination/zone_failover/flap_penalty.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "bookkeeping/types.hpp"
-#include "coordination/zone_failover/settings.hpp"
+#include "coordination/settings/zone_failover_settings.hpp"
 
 namespace walkford {
 
--- a/src/coordination/zone_failover_manager.cpp
+++ b/src/coordination/zone_failover/zone_failover_manager.cpp
@@ -1,10 +1,10 @@
-#include "coordination/zone_failover_manager.hpp"
+#include "coordination/zone_failover/zone_failover_manager.hpp"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/leader.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
 #include "coordination/zone_failover/recovery_ramp.hpp"
 
 namespace walkford {
--- a/src/coordination/zone_failover_manager.hpp
+++ b/src/coordination/zone_failover/zone_failover_manager.hpp
@@ -2,18 +2,17 @@
 // placing, renting and writing what follows from it. docs/zone-failover.md has the reasons.
 #pragma once
 
-#include "coordination/core.hpp"
-#include "coordination/free_capacity.hpp"
-#include "coordination/term_fwd.hpp"
+#include "bookkeeping/free_capacity.hpp"
+#include "coordination/cloud/cloud_manager.hpp"
+#include "coordination/context/controller_context.hpp"
+#include "coordination/leader/task_lifecycle.hpp"
+#include "coordination/workers/worker_manager.hpp"
 #include "coordination/zone_failover/displaced_work.hpp"
 #include "coordination/zone_failover/evacuation_reserve.hpp"
 #include "coordination/zone_failover/zone_health.hpp"
 
 namespace walkford {
 
-class CloudManager;
-class WorkerManager;
-
 class ZoneFailoverManager {
   public:
     explicit ZoneFailoverManager(LeaderContext& context);
--- a/src/protocol/pack.cpp
+++ b/src/protocol/messagepack_codec.cpp
@@ -1,4 +1,4 @@
-#include "protocol/pack.hpp"
+#include "protocol/messagepack_codec.hpp"
 
 #include <msgpack.hpp>
 
--- a/src/protocol/peer_frame.hpp
+++ b/src/protocol/peer_frame.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "coordination/io.hpp"
+#include "coordination/messages/inputs.hpp"
 
 namespace walkford::protocol {
 
--- a/src/protocol/properties_file.hpp
+++ b/src/protocol/properties_file.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/policy.hpp"
+#include "coordination/settings/operator_settings.hpp"
 #include "protocol/settings_file.hpp"
 
 namespace walkford::protocol {
--- a/src/protocol/settings_file.hpp
+++ b/src/protocol/settings_file.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/policy.hpp"
+#include "coordination/settings/platform_settings.hpp"
 
 namespace walkford::protocol {
 
--- a/src/protocol/wire.hpp
+++ b/src/protocol/wire.hpp
@@ -5,8 +5,9 @@
 #include <string>
 #include <string_view>
 
-#include "coordination/io.hpp"
-#include "protocol/pack.hpp"
+#include "coordination/messages/inputs.hpp"
+#include "coordination/messages/outputs.hpp"
+#include "protocol/messagepack_codec.hpp"
 
 namespace walkford::protocol {
 
--- a/src/protocol/wire_fields.hpp
+++ b/src/protocol/wire_fields.hpp
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "protocol/pack.hpp"
+#include "protocol/messagepack_codec.hpp"
 
 namespace walkford::protocol {
 
--- a/src/transport/peer_link.hpp
+++ b/src/transport/peer_link.hpp
@@ -5,7 +5,8 @@
 #include <list>
 #include <vector>
 
-#include "coordination/policy.hpp"
+#include "coordination/messages/outputs.hpp"
+#include "coordination/settings/platform_settings.hpp"
 #include "protocol/peer_frame.hpp"
 #include "transport/event_types.hpp"
 
--- a/src/transport/process.hpp
+++ b/src/transport/process.hpp
@@ -3,7 +3,7 @@
 
 #include <map>
 
-#include "coordination/node.hpp"
+#include "coordination/controller/controller.hpp"
 #include "transport/http_client.hpp"
 #include "transport/http_server.hpp"
 #include "transport/peer_link.hpp"
--- a/src/transport/work_counters.hpp
+++ b/src/transport/work_counters.hpp
@@ -6,7 +6,8 @@
 #include <optional>
 #include <string>
 
-#include "coordination/io.hpp"
+#include "coordination/messages/inputs.hpp"
+#include "coordination/messages/outputs.hpp"
 
 namespace walkford::transport {
 
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 
 #include "bookkeeping/registry_record.hpp"
-#include "bookkeeping/view.hpp"
+#include "coordination/store/store_replica.hpp"
 #include "protocol/peer_frame.hpp"
 
 namespace walkford {
--- a/tests/leader_test.cpp
+++ b/tests/leader_test.cpp
@@ -1,15 +1,15 @@
 // Focused tests of what a leader does: placing, scaling, fencing, gangs, the view and the pacing of
 // writes, each through the context's own doors.
-#include "coordination/leader.hpp"
+#include "coordination/controller/leader.hpp"
 
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
 #include <cstddef>
 
-#include "coordination/node.hpp"
-#include "coordination/view_keeper.hpp"
-#include "test_policy.hpp"
+#include "coordination/controller/controller.hpp"
+#include "coordination/store/store_watcher.hpp"
+#include "test_operator_settings.hpp"
 
 namespace walkford {
 namespace {
@@ -1042,7 +1042,8 @@
     p.controller_name = "n0";
     p.zones = {"a"};
     ControllerContext context(p, {}, 1);
-    StoreWatcher watcher(context);
+    StoreWatcher watcher(context.store, context.replica, context.out,
+                         [&context](Ms most) { return context.jitter(most); });
     std::vector<StoreRequest> asked;
     auto collect = [&] {
         for (Output& o : context.out) {
--- a/tests/loopback/fleet.hpp
+++ b/tests/loopback/fleet.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "protocol/pack.hpp"
+#include "protocol/messagepack_codec.hpp"
 #include "transport/http_client.hpp"
 
 namespace walkford::transport {
--- a/tests/loopback/stand_ins.hpp
+++ b/tests/loopback/stand_ins.hpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "protocol/pack.hpp"
+#include "protocol/messagepack_codec.hpp"
 #include "transport/event_types.hpp"
 
 namespace walkford::transport {
--- a/tests/registry_store_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -1,14 +1,14 @@
 // The machine registry in one value and in several, against a small state service.
-#include "coordination/registry_store.hpp"
+#include "coordination/cloud/machine_registry.hpp"
 
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
 #include <random>
 
-#include "coordination/leader.hpp"
-#include "standin/state_service.hpp"
-#include "test_policy.hpp"
+#include "coordination/controller/leader.hpp"
+#include "standin/key_value_store.hpp"
+#include "test_operator_settings.hpp"
 
 namespace walkford {
 namespace {
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -7,7 +7,7 @@
 #include <limits>
 #include <random>
 
-#include "protocol/pack.hpp"
+#include "protocol/messagepack_codec.hpp"
 #include "protocol/peer_frame.hpp"
 #include "protocol/properties_file.hpp"
 #include "protocol/settings_file.hpp"
--- a/tests/standin/entities.hpp
+++ b/tests/standin/entities.hpp
@@ -1,7 +1,7 @@
 // What the simulated world keeps of each party. Only the files of the stand-in include this.
 #pragma once
 
-#include "standin/state_service.hpp"
+#include "standin/key_value_store.hpp"
 #include "standin/world.hpp"
 
 namespace walkford::standin {
--- a/tests/standin/faults.hpp
+++ b/tests/standin/faults.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "coordination/io.hpp"
+#include "coordination/messages/inputs.hpp"
 
 namespace walkford::standin {
 
--- a/tests/standin/state_service.cpp
+++ b/tests/standin/key_value_store.cpp
@@ -1,4 +1,4 @@
-#include "standin/state_service.hpp"
+#include "standin/key_value_store.hpp"
 
 #include <algorithm>
 
--- a/tests/standin/state_service.hpp
+++ b/tests/standin/key_value_store.hpp
@@ -6,8 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "coordination/io.hpp"
-#include "coordination/state_limits.hpp"
+#include "coordination/messages/inputs.hpp"
+#include "coordination/messages/outputs.hpp"
+#include "coordination/settings/store_limits.hpp"
 
 namespace walkford::standin {
 
--- a/tests/standin/world.cpp
+++ b/tests/standin/world.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "standin/entities.hpp"
-#include "test_policy.hpp"
+#include "test_operator_settings.hpp"
 
 namespace walkford::standin {
 
--- a/tests/standin/world.hpp
+++ b/tests/standin/world.hpp
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "coordination/node.hpp"
+#include "coordination/controller/controller.hpp"
 #include "standin/faults.hpp"
-#include "standin/state_service.hpp"
+#include "standin/key_value_store.hpp"
 
 namespace walkford::standin {
 
--- a/tests/test_policy.hpp
+++ b/tests/test_operator_settings.hpp
@@ -2,7 +2,7 @@
 // that are not held, so that each step of a test stands by itself.
 #pragma once
 
-#include "coordination/policy.hpp"
+#include "coordination/settings/operator_settings.hpp"
 
 namespace walkford {
 
