--- a/src/bookkeeping/cluster_state.cpp
+++ b/src/bookkeeping/cluster_state.cpp
@@ -79,7 +79,7 @@
     jobs[id].alive = false;
     free_jobs_.push_back(id);
     for (Machine& m : machines) {
-        m.error_done += m.error_jobs.erase(id) > 0 && ended_well;
+        m.health.failed_jobs_done_elsewhere += m.health.failing_jobs.erase(id) > 0 && ended_well;
     }
 }
 
--- a/src/bookkeeping/cluster_state.hpp
+++ b/src/bookkeeping/cluster_state.hpp
@@ -116,7 +116,59 @@
     bool progress_saved = false;
 };
 
-enum class CloudStatus : std::uint8_t { unlisted, booting, running, failed };
+enum class CloudMachineState : std::uint8_t { unlisted, booting, running, failed };
+
+// What the cloud's list says of a machine. Times are -1 until it has been listed.
+struct CloudListing {
+    CloudMachineState state = CloudMachineState::unlisted;
+    Ms last_listed = -1;
+    Ms listed_since = -1;
+};
+
+// What the worker on a machine has told this leader, and the state of its lease.
+struct WorkerState {
+    bool reported = false;            // to this leader
+    bool fencing_token_seen = false;  // it has seen our token: no older leader is obeyed
+    Ms fencing_token_seen_at = -1;
+    std::uint64_t incarnation = 0;
+    std::uint64_t sequence = 0;  // of its last heartbeat, within the incarnation
+    Ms last_heartbeat = -1;
+    Ms lease_renewed_at = -1;           // when we last answered 200: its lease may count from there
+    bool lease_expired = false;         // surely, and not heard of since
+    std::uint64_t min_incarnation = 0;  // earlier ones ended when the lease expired
+    Ms reclaim_at = -1;                 // spot: when the cloud takes the machine, by our clock
+    Ms probe_at = 0;                    // when it is next asked directly
+    bool probe_open = false;            // ... and whether an answer to that is awaited
+};
+
+// Whether the worker acknowledges our answers: its later heartbeats show what became of them.
+// Heartbeats may arrive where answers don't (a one-way partition).
+struct Acknowledgement {
+    std::uint64_t answered_incarnation = 0;  // the last heartbeat answered 200 ...
+    std::uint64_t answered_sequence = 0;
+    // ... and the first one: from then on it should show our fencing token.
+    std::uint64_t token_announced_sequence = 0;
+    std::uint32_t missed_answers = 0;  // in a row
+    Ms missed_since = -1;
+};
+
+// Failures of tasks that speak against the machine rather than against the job.
+struct MachineHealth {
+    std::set<Id> failing_jobs;                     // failed here since the last success ...
+    std::uint32_t failed_jobs_done_elsewhere = 0;  // ... and have ended well elsewhere since
+    Ms last_failure = -1;
+    bool quarantined = false;
+    Ms backoff_until = 0;
+
+    std::size_t failures() const { return failing_jobs.size() + failed_jobs_done_elsewhere; }
+};
+
+// Room that is being made on a machine for one job.
+struct MachineReservation {
+    Id job = kNone;    // kNone: not reserved
+    Ms until = -1;     // no other job may take the room until then ...
+    Ms ready_at = -1;  // ... unless it is surely done before the room is complete
+};
 
 struct Machine {
     std::string name;
@@ -124,52 +176,23 @@
     Id zone = kNone;
     bool spot = false;
     std::string address;
-    bool registered = false;  // stands in the registry ...
-    bool registration_durable =
-        false;  // ... durably: a leader to come knows of it, and of what runs on it
+    bool registered = false;            // stands in the registry ...
+    bool registration_durable = false;  // ... durably: a leader to come knows of it
     bool permanent = false;
     bool releasing = false;  // marked before the cloud is asked; never used again
     bool terminated = false;
     Ms known_since = 0;
-    Ms requested_at = 0;  // by our clock, as well as it is known
-    CloudStatus cloud = CloudStatus::unlisted;
-    Ms last_listed = -1;
-    Ms listed_since = -1;
-    // What its worker told.
-    bool reported = false;            // to this leader
-    bool fencing_token_seen = false;  // its worker has seen our token: no older leader is obeyed
-    Ms fencing_token_seen_at = -1;
-    std::uint64_t incarnation = 0;
-    std::uint64_t sequence = 0;
-    // Answers that its later reports show it never took in. Reports may arrive where answers don't.
-    std::uint64_t answered_incarnation = 0;  // the last heartbeat answered 200 ...
-    std::uint64_t answered_sequence = 0;
-    std::uint64_t token_announced_sequence =
-        0;  // ... and the first one: from then on it should show our token
-    std::uint32_t unacknowledged_answers = 0;  // in a row
-    Ms unacknowledged_since = -1;
-    bool requested_by_this_leader = false;  // by this leader: no older one can have given it work
-    Ms last_heartbeat = -1;
-    Ms lease_renewed_at = -1;           // when we last answered 200: its lease may count from there
-    bool lease_expired = false;         // lease surely over and not heard of since
-    std::uint64_t min_incarnation = 0;  // reports of earlier sessions come from before it was lost
-    Ms reclaim_at = -1;                 // spot: when the cloud takes it, by our clock
-    // What we make of it.
+    Ms requested_at = 0;                    // by our clock, as well as it is known
+    bool requested_by_this_leader = false;  // no older leader can have given it work
     Resources used;
     std::set<TaskRef> tasks;
-    std::map<Id, Ms> images;       // fetched for a task of ours -> last use
-    std::set<Id> error_jobs;       // jobs that failed here since the last success ...
-    std::uint32_t error_done = 0;  // ... and have ended well elsewhere since
-    std::size_t errors() const { return error_jobs.size() + error_done; }
-    Ms last_error = -1;
-    bool quarantined = false;
-    Ms backoff_until = 0;
-    Id reserved_for = kNone;       // room is being made here for this job ...
-    Ms reserved_until = -1;        // ... and no other may take it until then ...
-    Ms reservation_ready_at = -1;  // ... unless it is surely done before the room is complete
+    std::map<Id, Ms> images;  // fetched for a task of ours -> last use
     Ms idle_since = 0;
-    Ms probe_at = 0;
-    bool probing = false;
+    CloudListing listing;
+    WorkerState worker;
+    Acknowledgement acknowledgement;
+    MachineHealth health;
+    MachineReservation reservation;
 };
 
 // What jobs of a class look like, by the latest one seen.
--- a/src/coordination/cloud/cloud_manager.cpp
+++ b/src/coordination/cloud/cloud_manager.cpp
@@ -149,7 +149,7 @@
         }
         const ScaleOutRequest scale_out = *known;
         ClusterState& cluster = context_.cluster;
-        if (r.status == 200) {
+        if (r.status == CloudCallStatus::ok) {
             spdlog::info("hire {}: {} of {} machines", name, r.names.size(), scale_out.count);
             if (!r.names.empty()) {
                 refused_.erase({scale_out.machine_type, scale_out.zone, scale_out.spot});
@@ -184,22 +184,23 @@
             context_.place_now = true;
             confirm_registration();
             registry_.write(at);
-        } else if (r.status == 503 && r.more) {
-            // No capacity: surely not executed. (`more` is set for that answer alone.)
+        } else if (r.status == CloudCallStatus::no_capacity) {
+            // Surely not executed.
             auto again = refused_.find({scale_out.machine_type, scale_out.zone, scale_out.spot});
             spdlog::log(again != refused_.end() ? spdlog::level::debug : spdlog::level::info,
                         "hire {}: no capacity", name);
             ran_out(at, scale_out.machine_type, scale_out.zone, scale_out.spot);
             registry_.remove_scale_out_request(name);
             registry_.write(at);
-        } else if (r.status == 400) {
+        } else if (r.status == CloudCallStatus::malformed) {
             spdlog::error("hire {} was refused as malformed", name);
             refused_[{scale_out.machine_type, scale_out.zone, scale_out.spot}] = {at + 60000, 1};
             registry_.remove_scale_out_request(name);
             registry_.write(at);
         } else {
             // No answer, an outage or too many requests: the same name again until it is known.
-            retry_at_by_request_[name] = at + (r.status == 429 ? 1000 : 1500);
+            retry_at_by_request_[name] =
+                at + (r.status == CloudCallStatus::rate_limited ? 1000 : 1500);
         }
     });
 }
@@ -244,7 +245,7 @@
                 return;
             }
             release_call_open_ = false;
-            if (r.status != 200) {
+            if (r.status != CloudCallStatus::ok) {
                 release_retry_at_ = at + 1200;
                 return;
             }
@@ -295,7 +296,7 @@
             if (alive.expired()) {
                 return;
             }
-            if (r.status != 200) {
+            if (r.status != CloudCallStatus::ok) {
                 listing_ = false;
                 list_at_ = at + 1000;
                 return;
@@ -316,7 +317,7 @@
     registry_.create();
     ClusterState& cluster = context_.cluster;
     for (const CloudMachine& c : listed_) {
-        if (c.status == CloudStatus::failed) {
+        if (c.status == CloudMachineState::failed) {
             continue;
         }
         Id id = cluster.add_machine(c.name, cluster.names.machine_types.intern(c.machine_type),
@@ -362,13 +363,13 @@
         if (m.machine_type == kNone) {
             m.machine_type = cluster.names.machine_types.intern(c.machine_type);
         }
-        m.cloud = c.status;
-        if (m.listed_since < 0) {
-            m.listed_since = now;
+        m.listing.state = c.status;
+        if (m.listing.listed_since < 0) {
+            m.listing.listed_since = now;
             // A list tells a machine's age: a new leader learns when it was rented.
             m.requested_at = std::min(m.requested_at, now - to_ms(c.age_s));
         }
-        m.last_listed = now;
+        m.listing.last_listed = now;
     }
     for (Id id = 0; id < cluster.machines.size(); ++id) {
         Machine& m = cluster.machines[id];
@@ -377,11 +378,11 @@
         }
         // A list may be older than the one before, by up to twice the lag: only what was listed
         // longer ago than that is missing because it is gone.
-        if (m.listed_since >= 0 && list_began_ > m.listed_since + 2 * with_drift(lag) + 1500) {
+        if (m.listing.listed_since >= 0 && list_began_ > m.listing.listed_since + 2 * with_drift(lag) + 1500) {
             spdlog::info("machine {} left the cloud's list: gone with {} tasks", m.name,
                          m.tasks.size());
             removed(now, id, "not listed any more");
-        } else if (m.listed_since < 0 && m.registered && !m.reported &&
+        } else if (m.listing.listed_since < 0 && m.registered && !m.worker.reported &&
                    now > m.known_since + 4 * lag + 10000) {
             release_machine(now, id, "never listed");
         }
@@ -397,11 +398,11 @@
     // Machines that don't hear us are sick; when most don't, it is we who are cut off.
     std::size_t deaf = 0, heard = 0;
     for (const Machine& m : cluster.machines) {
-        if (m.terminated || !m.reported || m.lease_expired) {
+        if (m.terminated || !m.worker.reported || m.worker.lease_expired) {
             continue;
         }
         ++heard;
-        deaf += m.unacknowledged_since >= 0 && m.unacknowledged_answers > 1;
+        deaf += m.acknowledgement.missed_since >= 0 && m.acknowledgement.missed_answers > 1;
     }
     bool ours = deaf >= 3 && 2 * deaf > heard;
     if (ours && now > context_.elected_at + 10000) {
@@ -422,32 +423,32 @@
         }
         const MachineType* machine_type = cluster.machine_type(m.machine_type);
         double boot = machine_type ? machine_type->boot_s : 60;
-        if (m.cloud == CloudStatus::failed) {
+        if (m.listing.state == CloudMachineState::failed) {
             release_machine(now, id, "failed");
-        } else if (m.quarantined && m.tasks.empty()) {
+        } else if (m.health.quarantined && m.tasks.empty()) {
             release_machine(now, id, "fails what it is given");
-        } else if (!m.reported && m.cloud != CloudStatus::running &&
+        } else if (!m.worker.reported && m.listing.state != CloudMachineState::running &&
                    now > std::max(
                              m.requested_at + to_ms(boot * operator_settings.boot_timeout_factor),
                              context_.elected_at + 5000)) {
             release_machine(now, id, "never came up");
-        } else if (m.lease_expired &&
-                   now > m.last_heartbeat + to_ms(context_.controller.platform_settings.lease_s +
+        } else if (m.worker.lease_expired &&
+                   now > m.worker.last_heartbeat + to_ms(context_.controller.platform_settings.lease_s +
                                                   operator_settings.silent_release_s)) {
             release_machine(now, id, "silent");
-        } else if (!m.reported && m.cloud == CloudStatus::running &&
+        } else if (!m.worker.reported && m.listing.state == CloudMachineState::running &&
                    now > std::max(
-                             {m.listed_since + to_ms(operator_settings.unreported_release_s),
+                             {m.listing.listed_since + to_ms(operator_settings.unreported_release_s),
                               context_.elected_at + to_ms(operator_settings.unreported_release_s),
                               m.requested_at +
                                   to_ms(boot * operator_settings.boot_timeout_factor)})) {
             release_machine(now, id, "does not report");
-        } else if (!ours && m.unacknowledged_answers > 1 && m.unacknowledged_since >= 0 &&
+        } else if (!ours && m.acknowledgement.missed_answers > 1 && m.acknowledgement.missed_since >= 0 &&
                    now >
-                       m.unacknowledged_since + to_ms(operator_settings.unacknowledged_release_s)) {
+                       m.acknowledgement.missed_since + to_ms(operator_settings.unacknowledged_release_s)) {
             release_machine(now, id, "reports, but does not hear");
-        } else if (m.reported && !m.fencing_token_seen &&
-                   now > std::max(m.last_heartbeat, context_.elected_at) +
+        } else if (m.worker.reported && !m.worker.fencing_token_seen &&
+                   now > std::max(m.worker.last_heartbeat, context_.elected_at) +
                              to_ms(operator_settings.unreported_release_s +
                                    context_.controller.platform_settings.lease_s)) {
             // Heard under an older token only, perhaps by a late copy, or once only: a new machine
@@ -470,7 +471,7 @@
                 return;
             }
             reading_machine_types_ = false;
-            if (r.status != 200 || r.machine_types.empty()) {
+            if (r.status != CloudCallStatus::ok || r.machine_types.empty()) {
                 read_machine_types_at_ = at + 1500;
                 return;
             }
--- a/src/coordination/cloud/machine_registry.cpp
+++ b/src/coordination/cloud/machine_registry.cpp
@@ -328,23 +328,23 @@
     writing_ = false;
     for (std::uint32_t index : sent) {
         Part& part = parts_[index];
-        if (reply.status == 200) {
+        if (reply.status == StoreStatus::ok) {
             part.version = part.dropping ? 0 : reply.revision;
         } else {
             part.changed = part.in_flight;
         }
         part.in_flight = 0;
     }
-    if (reply.status == 200) {
+    if (reply.status == StoreStatus::ok) {
         tell_waiting(now);
         return;
     }
     write_at_ = now + kRetry;
-    if (reply.status == 400) {
+    if (reply.status == StoreStatus::too_large) {
         write_at_ = now + kRetryRefused;
         spdlog::error("the state service refuses the machine registry as too large");
     }
-    if (reply.status != 409) {
+    if (reply.status != StoreStatus::conflict) {
         return;
     }
     if (context_.deposed_by(now, reply)) {
@@ -370,9 +370,9 @@
             }
             writing_ = false;
             auto index = keys::parse_registry_part(key);
-            if (index && got.status == 200 && got.rows.size() == 1) {
+            if (index && got.status == StoreStatus::ok && got.rows.size() == 1) {
                 parts_[*index].version = got.rows[0].version;
-            } else if (index && got.status == 404) {
+            } else if (index && got.status == StoreStatus::not_found) {
                 parts_[*index].version = 0;
             }
             read_versions(failed);
--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -213,7 +213,7 @@
             }
             PlacementRecord& record = b.placement_record(job, index);
             record.in_flight = false;
-            if (r.status == 200) {
+            if (r.status == StoreStatus::ok) {
                 b.commit(job, index, records, r.revision);
                 if (b.snapshot(job, index) != records) {
                     b.dirty.insert({job, index});
@@ -222,14 +222,14 @@
             }
             b.dirty.insert({job, index});
             record.retry_at = at + kRetry;
-            if (r.status == 400) {
+            if (r.status == StoreStatus::too_large) {
                 spdlog::error("the state service refuses the record {} as too large", key);
                 record.retry_at = at + kRetryRefused;
             }
-            if (r.status == 409) {
+            if (r.status == StoreStatus::conflict) {
                 spdlog::debug("write of {} found {} changed", key, fmt::join(r.failed, " "));
             }
-            if (r.status != 409) {
+            if (r.status != StoreStatus::conflict) {
                 return;  // the same conditions again: at most one copy takes effect
             }
             if (context_.deposed_by(at, r)) {
@@ -256,12 +256,13 @@
                         }
                         PlacementRecord& ck = bk.placement_record(job, index);
                         ck.in_flight = false;
-                        if (got.status == 200 && got.rows.size() == 1 && got.rows[0].value) {
+                        if (got.status == StoreStatus::ok && got.rows.size() == 1 &&
+                            got.rows[0].value) {
                             std::vector<TaskRecord> stored(ck.tasks.size());
                             if (decode_placement_record(*got.rows[0].value, stored)) {
                                 bk.commit(job, index, stored, got.rows[0].version);
                             }
-                        } else if (got.status == 404) {
+                        } else if (got.status == StoreStatus::not_found) {
                             ck.version = 0;
                         }
                     },
@@ -321,7 +322,7 @@
             }
             ClusterState& b = context_.cluster;
             bool ours = b.find_job(id) == job;
-            if (r.status == 200) {
+            if (r.status == StoreStatus::ok) {
                 spdlog::info("{} {}", id, cancelled ? "cancelled, all tasks gone" : "done");
                 context_.controller.replica.remember_ended(
                     id, {cancelled, ours ? b.jobs[job].spec.tasks : 0});
@@ -336,7 +337,7 @@
             }
             b.jobs[job].ending = false;
             b.jobs[job].retry_at = at + kRetry;
-            if (r.status != 409) {
+            if (r.status != StoreStatus::conflict) {
                 return;
             }
             if (context_.deposed_by(at, r)) {
@@ -361,7 +362,7 @@
     context_.controller.store.transaction(RequestPriority::progress, std::move(transaction),
                                           [this, alive = std::weak_ptr<bool>(context_.alive), id,
                                            left = std::move(left)](Ms, const StoreResponse& r) {
-                                              if (alive.expired() || r.status != 200) {
+                                              if (alive.expired() || r.status != StoreStatus::ok) {
                                                   return;  // the next term tidies
                                               }
                                               delete_placement_records(id, left);
--- a/src/coordination/controller/user_requests.cpp
+++ b/src/coordination/controller/user_requests.cpp
@@ -91,14 +91,14 @@
                 if (!is_open(request)) {
                     return;
                 }
-                if (r.status == 200 && r.rows.size() == 1 && r.rows[0].value) {
+                if (r.status == StoreStatus::ok && r.rows.size() == 1 && r.rows[0].value) {
                     if (auto ended = decode_ended(*r.rows[0].value)) {
                         context_.replica.remember_ended(id, *ended);
                         known(then);
                         return;
                     }
                 }
-                if (r.status == 404) {
+                if (r.status == StoreStatus::not_found) {
                     unknown(then);
                 } else {
                     refuse(request, 503, "the state service does not answer");
@@ -262,18 +262,18 @@
             if (!is_open(request)) {
                 return;
             }
-            if (r.status == 200) {
+            if (r.status == StoreStatus::ok) {
                 UserResponse a;
                 a.code = 201;
                 a.id = id;
                 a.status = JobStatus::pending;
                 answer(request, std::move(a));
-            } else if (r.status == 409) {
+            } else if (r.status == StoreStatus::conflict) {
                 // Accepted already: by another node, or by an earlier copy of this very
                 // write.
                 tell_fresh(at, request, id, false,
                            [this, request](Ms) { refuse(request, 503, "try again"); });
-            } else if (r.status == 0 && tries < 2) {
+            } else if (r.status == StoreStatus::no_response && tries < 2) {
                 // May have happened. The same write again is harmless: it creates or
                 // finds the job.
                 create(request, id, record, tries + 1);
@@ -325,13 +325,13 @@
             if (!is_open(request)) {
                 return;
             }
-            if (r.status == 200) {
+            if (r.status == StoreStatus::ok) {
                 UserResponse a;
                 a.code = 200;
                 a.id = id;
                 a.status = JobStatus::cancelled;
                 answer(request, std::move(a));
-            } else if (r.status == 409 || r.status == 0) {
+            } else if (r.status == StoreStatus::conflict || r.status == StoreStatus::no_response) {
                 // It changed meanwhile, or it is unknown whether it did: look again.
                 watcher_.barrier(at, [this, request, id, tries](Ms then, bool ok) {
                     if (ok) {
--- a/src/coordination/leadership/leadership.cpp
+++ b/src/coordination/leadership/leadership.cpp
@@ -32,7 +32,7 @@
     context_.store.lease_grant(
         ttl,
         [this, sent = now, ttl](Ms at, const StoreResponse& r) {
-            if (r.status != 200 || r.lease == 0) {
+            if (r.status != StoreStatus::ok || r.lease == 0) {
                 campaigning_ = false;
                 campaign_at_ = at + 200 + context_.jitter(300);
                 return;
@@ -48,7 +48,7 @@
                 RequestPriority::leadership, std::move(transaction),
                 [this, lease, sent, ttl](Ms then, const StoreResponse& t) {
                     campaigning_ = false;
-                    if (t.status != 200) {
+                    if (t.status != StoreStatus::ok) {
                         // Lost, or unknown: without its lease a late copy of the write
                         // fails too.
                         context_.store.lease_revoke(lease, context_.out);
@@ -87,10 +87,10 @@
                 return;
             }
             renewing_ = false;
-            if (r.status == 200) {
+            if (r.status == StoreStatus::ok) {
                 valid_until_ = std::max(valid_until_, lease_valid_until(sent, ttl));
                 renew_at_ = sent + ttl / 4;
-            } else if (r.status == 404) {
+            } else if (r.status == StoreStatus::not_found) {
                 depose(at, "lease ended");
             } else {
                 renew_at_ = at + 200;
--- a/src/coordination/leadership/lease_relay.cpp
+++ b/src/coordination/leadership/lease_relay.cpp
@@ -48,7 +48,7 @@
         kLeaseTtl,
         [this, sent = now, fencing_token = context_.replica.leader_version](
             Ms at, const StoreResponse& reply) {
-            if (reply.status == 200 && reply.lease != 0) {
+            if (reply.status == StoreStatus::ok && reply.lease != 0) {
                 announce(sent, reply.lease, fencing_token);
                 return;
             }
@@ -70,7 +70,7 @@
         RequestPriority::leadership, std::move(transaction),
         [this, sent, lease, fencing_token](Ms at, const StoreResponse& reply) {
             beginning_ = false;
-            if (reply.status != 200) {
+            if (reply.status != StoreStatus::ok) {
                 // Without its lease a late copy of the write fails too.
                 context_.store.lease_revoke(lease, context_.out);
                 retry_at_ = at + kRetry;
@@ -96,10 +96,10 @@
                 return;
             }
             renewing_ = false;
-            if (reply.status == 200) {
+            if (reply.status == StoreStatus::ok) {
                 valid_until_ = std::max(valid_until_, lease_valid_until(sent, kLeaseTtl));
                 renew_at_ = sent + kLeaseTtl / 4;
-            } else if (reply.status == 404) {
+            } else if (reply.status == StoreStatus::not_found) {
                 end();
             } else {
                 renew_at_ = at + kRetryRenewal;
--- a/src/coordination/messages/inputs.hpp
+++ b/src/coordination/messages/inputs.hpp
@@ -42,9 +42,22 @@
     WorkerStatus worker_status;
 };
 
+// How the state service answered a request.
+enum class StoreStatus : std::uint8_t {
+    no_response,  // none, or none that is understood: it may have been executed, or may be later
+    ok,
+    not_found,     // no such key or lease
+    conflict,      // a comparison of the transaction failed; not executed
+    compacted,     // the changes asked for are no longer kept
+    too_large,     // rejected: malformed, or over a limit on sizes
+    rate_limited,  // over the limit on the rate; not executed
+    unavailable,   // an outage, or this controller alone is refused
+    unexpected,    // any other answer
+};
+
 struct StoreResponse {
     CallId call = 0;
-    int status = 0;  // 0: no answer; it may have happened, or may happen later
+    StoreStatus status = StoreStatus::no_response;
     std::uint64_t revision = 0;
     std::uint64_t lease = 0;
     std::vector<StoreEntry> rows;
@@ -58,21 +71,40 @@
     std::string machine_type;
     std::string zone;
     bool spot = false;
-    CloudStatus status = CloudStatus::unlisted;
+    CloudMachineState status = CloudMachineState::unlisted;
     double age_s = 0;
 };
+// How the cloud answered a request.
+enum class CloudCallStatus : std::uint8_t {
+    no_response,  // none, or none that is understood: it may have been executed, or may be later
+    ok,
+    no_capacity,   // surely not executed
+    malformed,     // rejected; not executed
+    rate_limited,  // not executed
+    unavailable,   // an outage: says nothing of what was executed
+    unexpected,    // any other answer
+};
+
 struct CloudResponse {
     CallId call = 0;
-    int status = 0;
+    CloudCallStatus status = CloudCallStatus::no_response;
     std::vector<MachineType> machine_types;
     std::vector<std::string> names;
     std::vector<CloudMachine> machines;
     bool more = false;
 };
 
+// How a worker answered commands sent to it directly.
+enum class WorkerCallStatus : std::uint8_t {
+    no_response,
+    ok,
+    conflict,    // its fencing token or incarnation is another; nothing was executed
+    unexpected,  // any other answer
+};
+
 struct WorkerResponse {
     CallId call = 0;
-    int status = 0;
+    WorkerCallStatus status = WorkerCallStatus::no_response;
     std::optional<WorkerStatus> worker_status;
 };
 
--- a/src/coordination/placement/gang_reservation.cpp
+++ b/src/coordination/placement/gang_reservation.cpp
@@ -76,7 +76,7 @@
         if (!machine_type || (zone != kNone && m.zone != zone) || j.failed_on.count(mid)) {
             continue;
         }
-        if (m.reserved_for != kNone && m.reserved_for != id) {
+        if (m.reservation.job != kNone && m.reservation.job != id) {
             continue;
         }
         if (ClusterState::slots(s, m.machine_type, m.zone, m.spot, machine_type->size) == 0) {
@@ -118,8 +118,8 @@
 
 void GangReservation::release(Id job) {
     for (Machine& m : context_.cluster.machines) {
-        if (m.reserved_for == job) {
-            m.reserved_for = kNone;
+        if (m.reservation.job == job) {
+            m.reservation.job = kNone;
         }
     }
 }
@@ -145,7 +145,7 @@
     }
     Id reserved_zone = kNone;
     for (Id m : schedulable) {
-        if (cluster.machines[m].reserved_for == id) {
+        if (cluster.machines[m].reservation.job == id) {
             reserved_zone = cluster.machines[m].zone;
         }
     }
@@ -188,9 +188,9 @@
                   static_cast<double>(best->ready - now) / 1000.0);
     for (const Slot& slot : best->slots) {
         Machine& m = cluster.machines[slot.machine];
-        m.reserved_for = id;
-        m.reserved_until = now + kKeepFor;
-        m.reservation_ready_at = best->ready;
+        m.reservation.job = id;
+        m.reservation.until = now + kKeepFor;
+        m.reservation.ready_at = best->ready;
     }
     j.reserving = true;
     if (stopping) {
--- a/src/coordination/placement/placer.cpp
+++ b/src/coordination/placement/placer.cpp
@@ -82,7 +82,7 @@
 bool Placer::over_in_time(const JobSpec& s, const Machine& m, double fetch_s) const {
     // Estimates are often wrong by half.
     double span = fetch_s + 1.5 * s.estimate_s + 2 * context_.controller.platform_settings.report_s;
-    return !s.starts_together() && s.estimate_s > 0 && now_ + to_ms(span) <= m.reservation_ready_at;
+    return !s.starts_together() && s.estimate_s > 0 && now_ + to_ms(span) <= m.reservation.ready_at;
 }
 
 bool Placer::admits(Id id, const FreeCapacity::MachineGroup& machine_group) const {
@@ -140,8 +140,8 @@
     if (blocked_by_failover(job_id, machine_group, capacity, cold)) {
         return std::nullopt;
     }
-    if (m.reserved_for != job_id) {
-        if (m.reserved_for != kNone && !over_in_time(s, m, fetch)) {
+    if (m.reservation.job != job_id) {
+        if (m.reservation.job != kNone && !over_in_time(s, m, fetch)) {
             return std::nullopt;
         }
         // (Not from services: a replica that may be in one zone only, as its job is spread, waited
@@ -312,7 +312,7 @@
             if (!s.each.fits_in(capacity.free)) {
                 continue;
             }
-            Id reserved_for = context_.cluster.machines[capacity.machine].reserved_for;
+            Id reserved_for = context_.cluster.machines[capacity.machine].reservation.job;
             if (reserved_for != kNone && reserved_for != id) {
                 continue;
             }
@@ -415,10 +415,10 @@
         if (workers.schedulable(m, now)) {
             schedulable.push_back(id);
         }
-        if (m.reserved_for != kNone &&
-            (now >= m.reserved_until || !cluster.jobs[m.reserved_for].alive ||
-             cluster.jobs[m.reserved_for].waiting() == 0)) {
-            m.reserved_for = kNone;
+        if (m.reservation.job != kNone &&
+            (now >= m.reservation.until || !cluster.jobs[m.reservation.job].alive ||
+             cluster.jobs[m.reservation.job].waiting() == 0)) {
+            m.reservation.job = kNone;
         }
     }
     if (cursor_ >= order_.size()) {
--- a/src/coordination/placement/preemption.cpp
+++ b/src/coordination/placement/preemption.cpp
@@ -103,7 +103,7 @@
             continue;
         }
         bool being_made = std::any_of(cluster.machines.begin(), cluster.machines.end(),
-                                      [&](const Machine& m) { return m.reserved_for == id; });
+                                      [&](const Machine& m) { return m.reservation.job == id; });
         if (being_made) {
             continue;
         }
@@ -127,7 +127,7 @@
     for (Id mid : schedulable) {
         const Machine& m = cluster.machines[mid];
         const MachineType* machine_type = cluster.machine_type(m.machine_type);
-        if (!machine_type || m.reserved_for != kNone ||
+        if (!machine_type || m.reservation.job != kNone ||
             ClusterState::slots(s, m.machine_type, m.zone, m.spot, machine_type->size) == 0) {
             continue;
         }
@@ -203,10 +203,10 @@
         save = std::max(save, cluster.jobs[ref.job].spec.checkpoint_duration_s);
     }
     spdlog::info("{} takes room on {}: {} tasks are stopped", s.id, m.name, best_victims.size());
-    m.reserved_for = id;
-    m.reserved_until =
+    m.reservation.job = id;
+    m.reservation.until =
         now + to_ms(save + 2 * context_.controller.platform_settings.report_s) + 3000;
-    m.reservation_ready_at = now;
+    m.reservation.ready_at = now;
     for (TaskRef ref : best_victims) {
         lifecycle_.stop(ref, cluster.jobs[ref.job].spec.checkpoint_duration_s + 1, now, true);
     }
--- a/src/coordination/scaling/scaler.cpp
+++ b/src/coordination/scaling/scaler.cpp
@@ -22,10 +22,10 @@
 }  // namespace
 
 bool Scaler::back_soon(const Machine& m, Ms now) const {
-    return m.registered && m.reported && !m.terminated && !m.releasing && !m.quarantined &&
-           m.reclaim_at < 0 && m.cloud != CloudStatus::failed && m.unacknowledged_answers == 0 &&
-           !zone_failover_.lost(m.zone) &&
-           (context_.relayed(m) || now < m.last_heartbeat +
+    return m.registered && m.worker.reported && !m.terminated && !m.releasing && !m.health.quarantined &&
+           m.worker.reclaim_at < 0 && m.listing.state != CloudMachineState::failed &&
+           m.acknowledgement.missed_answers == 0 && !zone_failover_.lost(m.zone) &&
+           (context_.relayed(m) || now < m.worker.last_heartbeat +
                                              to_ms(context_.controller.platform_settings.lease_s) +
                                              kBackWithin);
 }
@@ -35,7 +35,7 @@
 bool Scaler::many_silent(Ms now, const WorkerManager& workers) const {
     std::size_t silent = 0, all = 0;
     for (const Machine& m : context_.cluster.machines) {
-        if (!m.registered || m.terminated || !m.reported) {
+        if (!m.registered || m.terminated || !m.worker.reported) {
             continue;
         }
         ++all;
@@ -62,13 +62,13 @@
         utilization_.allocated += m.used;
         bool up = workers.schedulable(m, now);
         machines_of_[m.zone].reporting += up;
-        machines_of_[m.zone].on_their_way += !m.reported && !m.releasing;
+        machines_of_[m.zone].on_their_way += !m.worker.reported && !m.releasing;
         // One on its way counts as capacity, or the rule rents twice; one that is late does not.
-        bool booting = !m.reported && !m.releasing &&
+        bool booting = !m.worker.reported && !m.releasing &&
                        now < m.requested_at +
                                  to_ms(machine_type->boot_s * operator_settings.boot_late_factor) +
                                  3000;
-        bool settling = now < context_.elected_at + 6000 && !m.releasing && !m.quarantined;
+        bool settling = now < context_.elected_at + 6000 && !m.releasing && !m.health.quarantined;
         bool silent = together && !up && back_soon(m, now);
         if (!up && !booting && !settling && !silent) {
             // What is still booked there counts on both sides.
@@ -524,12 +524,12 @@
             m.idle_since = now;
         }
         const MachineType* machine_type = cluster.machine_type(m.machine_type);
-        if (m.terminated || !m.registered || m.releasing || m.permanent || !m.reported ||
+        if (m.terminated || !m.registered || m.releasing || m.permanent || !m.worker.reported ||
             !machine_type) {
             continue;
         }
         // One that is kept for a gang stands empty until its mates are free.
-        if (!m.tasks.empty() || wanted.count(id) || m.reserved_for != kNone) {
+        if (!m.tasks.empty() || wanted.count(id) || m.reservation.job != kNone) {
             continue;
         }
         double price = m.spot ? machine_type->spot_price : machine_type->price;
--- a/src/coordination/store/store_client.cpp
+++ b/src/coordination/store/store_client.cpp
@@ -107,7 +107,8 @@
     }
     Pending p = std::move(it->second);
     pending_.erase(it);
-    if (reply.status != 0 && reply.status != 503 && reply.status != 429) {
+    if (reply.status != StoreStatus::no_response && reply.status != StoreStatus::unavailable &&
+        reply.status != StoreStatus::rate_limited) {
         last_reached_ = now;
         seen_revision_ = std::max(seen_revision_, reply.revision);
         // (The answer about one key names no revision but that of its last change.)
@@ -115,10 +116,10 @@
             seen_revision_ = std::max(seen_revision_, row.version);
         }
         refused_ = 0;
-    } else if (reply.status != 429) {
+    } else if (reply.status != StoreStatus::rate_limited) {
         ++refused_;
     }
-    if (reply.status == 429) {
+    if (reply.status == StoreStatus::rate_limited) {
         paused_until_ = std::max(paused_until_, now + kPauseAfterRefusal);
         if (p.transaction) {
             if (limits_.refused(now)) {
@@ -131,7 +132,7 @@
             return;
         }
     }
-    if (reply.status == 409) {
+    if (reply.status == StoreStatus::conflict) {
         spdlog::debug("state: {} changed", fmt::join(reply.failed, " "));
     }
     p.then(now, reply);
--- a/src/coordination/store/store_watcher.cpp
+++ b/src/coordination/store/store_watcher.cpp
@@ -57,7 +57,7 @@
     client_.list(
         reading_prefixes().at(read_prefix_), read_after_,
         [this](Ms now, const StoreResponse& r) {
-            if (r.status != 200) {
+            if (r.status != StoreStatus::ok) {
                 reading_ = false;
                 read_at_ = now + 200 + jitter_(200);
                 return;
@@ -120,9 +120,9 @@
             }
             watching_ = false;
             watch_at_ = now + watch_spacing_;
-            if (r.status == 200) {
+            if (r.status == StoreStatus::ok) {
                 apply(now, r);
-            } else if (r.status == 410) {
+            } else if (r.status == StoreStatus::compacted) {
                 spdlog::info("changes too old, reading the state again");
                 ready_ = false;
                 read_at_ = now;
@@ -154,11 +154,11 @@
         replica_.revision(), 0,
         [this, served, sent = now, reading = readings_](Ms at, const StoreResponse& r) {
             barrier_open_ = false;
-            bool ok = r.status == 200 && ready_ && reading == readings_;
+            bool ok = r.status == StoreStatus::ok && ready_ && reading == readings_;
             if (ok) {
                 apply(at, r);
                 confirmed_at_ = std::max(confirmed_at_, sent);
-            } else if (r.status == 410 && ready_ && reading == readings_) {
+            } else if (r.status == StoreStatus::compacted && ready_ && reading == readings_) {
                 ready_ = false;
                 read_at_ = at;
             }
--- a/src/coordination/workers/worker_manager.cpp
+++ b/src/coordination/workers/worker_manager.cpp
@@ -15,14 +15,14 @@
 
 bool WorkerManager::reported_recently(const Machine& m, Ms now) const {
     Ms fresh = to_ms(context_.controller.platform_settings.report_s * 2.0) + 1500;
-    return m.reported && now - m.last_heartbeat <= fresh;
+    return m.worker.reported && now - m.worker.last_heartbeat <= fresh;
 }
 
 bool WorkerManager::schedulable(const Machine& m, Ms now) const {
-    return m.registered && !m.releasing && !m.terminated && !m.quarantined && !m.lease_expired &&
-           reported_recently(m, now) && m.reclaim_at < 0 && m.backoff_until <= now &&
-           m.unacknowledged_answers < kMaxUnacknowledgedAnswers &&
-           (m.fencing_token_seen || m.requested_by_this_leader);
+    return m.registered && !m.releasing && !m.terminated && !m.health.quarantined && !m.worker.lease_expired &&
+           reported_recently(m, now) && m.worker.reclaim_at < 0 && m.health.backoff_until <= now &&
+           m.acknowledgement.missed_answers < kMaxUnacknowledgedAnswers &&
+           (m.worker.fencing_token_seen || m.requested_by_this_leader);
 }
 
 void WorkerManager::heartbeat(Ms now, const HeartbeatRequest& q) {
@@ -51,17 +51,17 @@
         // from it.
         a.code = 200;
         a.fencing_token = context_.fencing_token;
-        m.lease_renewed_at = now;
+        m.worker.lease_renewed_at = now;
         context_.controller.out.emplace_back(std::move(a));
         return;
     }
-    m.last_heartbeat = now;
+    m.worker.last_heartbeat = now;
     if (auto it = deferred_.find(id); it != deferred_.end()) {
         // Its worker has given up on the one before, or that was a copy: no orders for it.
         a.request = it->second.request;
         a.code = 200;
         a.fencing_token = context_.fencing_token;
-        m.lease_renewed_at = now;
+        m.worker.lease_renewed_at = now;
         deferred_.erase(it);
         context_.controller.out.emplace_back(std::move(a));
     }
@@ -92,12 +92,12 @@
         a.code = 200;
         a.fencing_token = context_.fencing_token;
         a.commands = commands(now, id, r);
-        if (m.answered_sequence == 0) {
-            m.token_announced_sequence = r.sequence;
+        if (m.acknowledgement.answered_sequence == 0) {
+            m.acknowledgement.token_announced_sequence = r.sequence;
         }
-        m.answered_incarnation = r.incarnation;
-        m.answered_sequence = r.sequence;
-        m.lease_renewed_at = now;
+        m.acknowledgement.answered_incarnation = r.incarnation;
+        m.acknowledgement.answered_sequence = r.sequence;
+        m.worker.lease_renewed_at = now;
     }
     context_.controller.out.emplace_back(std::move(a));
 }
@@ -121,7 +121,7 @@
 Ms WorkerManager::response_hold(const Machine& m, const WorkerStatus& r, bool& idle) const {
     const OperatorSettings& operator_settings = context_.controller.operator_settings;
     bool may_run = context_.holds_lease && m.registered && m.registration_durable && !m.releasing &&
-                   !m.quarantined && m.reclaim_at < 0 && m.unacknowledged_answers == 0 &&
+                   !m.health.quarantined && m.worker.reclaim_at < 0 && m.acknowledgement.missed_answers == 0 &&
                    r.fencing_token == context_.fencing_token;
     // Each takes a socket, of which most are for reports that are not held.
     if (!may_run || deferred_.size() >= context_.controller.platform_settings.fd_limit / 4) {
@@ -216,7 +216,7 @@
                    context_.holds_lease && !j.cancelled && t.durable_here() &&
                    m.registration_durable && !m.releasing &&
                    r.fencing_token == context_.fencing_token &&
-                   m.unacknowledged_answers < kMaxUnacknowledgedAnswers) {
+                   m.acknowledgement.missed_answers < kMaxUnacknowledgedAnswers) {
             // Only to one that shows our token: a late copy of a report from before our election
             // gets no order whose delivery would then be counted on. The worker takes a task and
             // attempt once, unless it was cleared.
@@ -239,15 +239,15 @@
 
 void WorkerManager::send_direct(Ms now, Id id, std::vector<WorkerCommand> list) {
     Machine& m = context_.cluster.machines[id];
-    if (m.address.empty() || m.probing) {
+    if (m.address.empty() || m.worker.probe_open) {
         return;
     }
-    m.probing = true;
-    m.probe_at = now + 2500;
+    m.worker.probe_open = true;
+    m.worker.probe_at = now + 2500;
     WorkerRequest c;
     c.address = m.address;
     c.fencing_token = context_.fencing_token;
-    c.incarnation = m.incarnation;
+    c.incarnation = m.worker.incarnation;
     c.commands = std::move(list);
     c.call = context_.controller.workers.open([this, alive = std::weak_ptr<bool>(context_.alive),
                                                id](Ms at, const WorkerResponse& r) {
@@ -255,7 +255,7 @@
             return;
         }
         Machine& machine = context_.cluster.machines[id];
-        machine.probing = false;
+        machine.worker.probe_open = false;
         if (machine.terminated || !r.worker_status || r.worker_status->machine != machine.name) {
             return;
         }
@@ -263,8 +263,9 @@
             context_.depose(at, "a worker has seen a higher token");
             return;
         }
-        if (r.status == 409 && r.worker_status->incarnation != machine.incarnation) {
-            machine.probe_at = at;  // once more, with the session it told
+        if (r.status == WorkerCallStatus::conflict &&
+            r.worker_status->incarnation != machine.worker.incarnation) {
+            machine.worker.probe_at = at;  // once more, with the session it told
         }
         apply_status(at, id, *r.worker_status, false);
     });
@@ -294,7 +295,7 @@
     }
     Ms lease = with_drift(to_ms(context_.controller.platform_settings.lease_s)) + kLeaseMargin;
     Ms over =
-        std::max({m.lease_renewed_at, m.fencing_token_seen_at, relays_[m.zone].changed_at}) + lease;
+        std::max({m.worker.lease_renewed_at, m.worker.fencing_token_seen_at, relays_[m.zone].changed_at}) + lease;
     return now > over && context_.view_confirmed_until >= over;
 }
 
@@ -313,25 +314,25 @@
         if (m.terminated) {
             continue;
         }
-        if (m.fencing_token_seen && !m.lease_expired && lease_over(now, id)) {
-            m.lease_expired = true;
-            m.min_incarnation = m.incarnation + 1;
-            m.reclaim_at = -1;
+        if (m.worker.fencing_token_seen && !m.worker.lease_expired && lease_over(now, id)) {
+            m.worker.lease_expired = true;
+            m.worker.min_incarnation = m.worker.incarnation + 1;
+            m.worker.reclaim_at = -1;
             spdlog::info("machine {} not heard for {:.1f} s: lease over, {} tasks lost", m.name,
-                         static_cast<double>(now - m.last_heartbeat) / 1000.0, m.tasks.size());
+                         static_cast<double>(now - m.worker.last_heartbeat) / 1000.0, m.tasks.size());
             lifecycle_.machine_emptied(id, now, "machine silent");
         }
         // Not heard under our token: an older leader may still answer it, so it is shown ours.
         // (A report under an older token may be a late copy: it does not stand for the machine.)
-        bool unseen = !m.fencing_token_seen &&
-                      now > std::max(context_.elected_at, m.last_heartbeat) +
+        bool unseen = !m.worker.fencing_token_seen &&
+                      now > std::max(context_.elected_at, m.worker.last_heartbeat) +
                                 to_ms(operator_settings.takeover_probe_s) &&
-                      (!m.tasks.empty() || m.cloud == CloudStatus::running);
-        if (unseen && !m.probing && now >= m.probe_at) {
+                      (!m.tasks.empty() || m.listing.state == CloudMachineState::running);
+        if (unseen && !m.worker.probe_open && now >= m.worker.probe_at) {
             send_direct(now, id, {});
         }
 
-        if (m.reclaim_at >= 0) {
+        if (m.worker.reclaim_at >= 0) {
             // Taken soon: save as late as is safe, with two reports' time to be told.
             for (TaskRef ref : std::vector<TaskRef>(m.tasks.begin(), m.tasks.end())) {
                 const JobSpec& spec = cluster.jobs[ref.job].spec;
@@ -340,7 +341,7 @@
                     continue;
                 }
                 Ms needed = to_ms(spec.checkpoint_duration_s) + report_interval + 1500;
-                if (now + needed >= m.reclaim_at) {
+                if (now + needed >= m.worker.reclaim_at) {
                     lifecycle_.stop(ref, spec.checkpoint_duration_s + 0.5, now, true);
                 }
             }
@@ -356,7 +357,7 @@
             urgent.push_back({WorkerCommandType::stop, cluster.jobs[ref.job].spec.id, ref.task,
                               t.attempt, t.stop_grace});
         }
-        if (!urgent.empty() && m.reported && !m.probing && now >= m.probe_at - 2400) {
+        if (!urgent.empty() && m.worker.reported && !m.worker.probe_open && now >= m.worker.probe_at - 2400) {
             for (const WorkerCommand& o : urgent) {
                 cluster.task({cluster.find_job(o.job), o.task}).stop_sent_at = now;
             }
--- a/src/coordination/workers/worker_status.cpp
+++ b/src/coordination/workers/worker_status.cpp
@@ -19,80 +19,80 @@
 // it was told to run and does not have (see take). One lost packet is no more than that; several in
 // a row mean that our answers don't arrive.
 void WorkerManager::check_acknowledgement(Ms now, Machine& m, const WorkerStatus& r) {
-    if (m.answered_sequence == 0) {
+    if (m.acknowledgement.answered_sequence == 0) {
         return;
     }
     bool missed =
-        (r.fencing_token < context_.fencing_token && r.sequence > m.token_announced_sequence) ||
-        (r.incarnation > m.answered_incarnation &&
-         now < m.lease_renewed_at + to_ms(context_.controller.platform_settings.lease_s));
+        (r.fencing_token < context_.fencing_token && r.sequence > m.acknowledgement.token_announced_sequence) ||
+        (r.incarnation > m.acknowledgement.answered_incarnation &&
+         now < m.worker.lease_renewed_at + to_ms(context_.controller.platform_settings.lease_s));
     if (missed) {
         answer_unacknowledged(now, m);
-    } else if (r.fencing_token == context_.fencing_token && !m.fencing_token_seen) {
+    } else if (r.fencing_token == context_.fencing_token && !m.worker.fencing_token_seen) {
         answer_acknowledged(m);
     }
 }
 
 void WorkerManager::answer_unacknowledged(Ms now, Machine& m) {
-    ++m.unacknowledged_answers;
-    if (m.unacknowledged_since < 0) {
-        m.unacknowledged_since = now;
+    ++m.acknowledgement.missed_answers;
+    if (m.acknowledgement.missed_since < 0) {
+        m.acknowledgement.missed_since = now;
     }
-    if (m.unacknowledged_answers == kMaxUnacknowledgedAnswers) {
+    if (m.acknowledgement.missed_answers == kMaxUnacknowledgedAnswers) {
         spdlog::info("machine {} reports and does not take in what it is told", m.name);
     }
 }
 
 void WorkerManager::answer_acknowledged(Machine& m) {
-    m.unacknowledged_answers = 0;
-    m.unacknowledged_since = -1;
+    m.acknowledgement.missed_answers = 0;
+    m.acknowledgement.missed_since = -1;
 }
 
 bool WorkerManager::apply_status(Ms now, Id id, const WorkerStatus& r, bool is_heartbeat) {
     ClusterState& cluster = context_.cluster;
     Machine& m = cluster.machines[id];
     auto at = std::pair{r.incarnation, r.sequence};
-    if (m.reported && at <= std::pair{m.incarnation, m.sequence}) {
+    if (m.worker.reported && at <= std::pair{m.worker.incarnation, m.worker.sequence}) {
         return false;
     }
     // From before it was given up: its lease is over, so is all it tells of.
-    if (r.incarnation < m.min_incarnation) {
+    if (r.incarnation < m.worker.min_incarnation) {
         return false;
     }
-    bool new_incarnation = m.reported && r.incarnation > m.incarnation;
+    bool new_incarnation = m.worker.reported && r.incarnation > m.worker.incarnation;
     bool under_us = r.fencing_token == context_.fencing_token;
     if (is_heartbeat) {
         check_acknowledgement(now, m, r);
     }
-    if (!m.reported) {
+    if (!m.worker.reported) {
         spdlog::debug("machine {} reports", m.name);
         context_.place_now = true;
     }
-    m.incarnation = r.incarnation;
-    m.sequence = r.sequence;
-    m.reported = true;
-    if (m.lease_expired) {
-        m.lease_expired = false;
+    m.worker.incarnation = r.incarnation;
+    m.worker.sequence = r.sequence;
+    m.worker.reported = true;
+    if (m.worker.lease_expired) {
+        m.worker.lease_expired = false;
         context_.place_now = true;
         spdlog::info("machine {} is back", m.name);
     }
-    if (under_us && !m.fencing_token_seen) {
-        m.fencing_token_seen = true;
-        m.fencing_token_seen_at = now;
+    if (under_us && !m.worker.fencing_token_seen) {
+        m.worker.fencing_token_seen = true;
+        m.worker.fencing_token_seen_at = now;
     }
     if (new_incarnation) {
         m.images.clear();  // a new session may mean a new disk: count on nothing
     }
     if (r.notice_s) {
         Ms until = now + to_ms(*r.notice_s);
-        if (m.reclaim_at < 0) {
+        if (m.worker.reclaim_at < 0) {
             spdlog::info("machine {} is taken in {:.1f} s", m.name, *r.notice_s);
         }
-        m.reclaim_at = m.reclaim_at < 0 ? until : std::min(m.reclaim_at, until);
+        m.worker.reclaim_at = m.worker.reclaim_at < 0 ? until : std::min(m.worker.reclaim_at, until);
     } else {
         // The newest report counts: an old copy's notice, heard first by a new leader, is not for
         // ever.
-        m.reclaim_at = -1;
+        m.worker.reclaim_at = -1;
     }
 
     std::set<TaskRef> mentioned;
@@ -208,22 +208,22 @@
     bool good = known_good(now, j);
     if (j.exonerated_machines.size() >= 2 && !good) {
         for (Id other : j.failed_on) {
-            cluster.machines[other].error_jobs.erase(ref.job);
+            cluster.machines[other].health.failing_jobs.erase(ref.job);
         }
         double wait = std::min(60.0, 2.0 * static_cast<double>(1U << std::min(j.failures, 5U)));
         j.not_before = now + to_ms(wait);
     } else {
-        m.error_jobs.insert(ref.job);
-        m.last_error = now;
-        m.backoff_until = std::max(m.backoff_until, now + 3000);
+        m.health.failing_jobs.insert(ref.job);
+        m.health.last_failure = now;
+        m.health.backoff_until = std::max(m.health.backoff_until, now + 3000);
         // (The other replicas of a service show that it is the machine: elsewhere at once.)
         bool at_once = good && j.spec.service();
         Ms wait = at_once ? 0 : 500 * static_cast<Ms>(std::min(j.failures, 4U));
         j.not_before = std::max(j.not_before, now + wait);
     }
-    if (m.errors() >= 2 && !m.quarantined) {
-        m.quarantined = true;
-        spdlog::info("machine {} fails tasks of {} jobs: given up", m.name, m.errors());
+    if (m.health.failures() >= 2 && !m.health.quarantined) {
+        m.health.quarantined = true;
+        spdlog::info("machine {} fails tasks of {} jobs: given up", m.name, m.health.failures());
         std::vector<TaskRef> here(m.tasks.begin(), m.tasks.end());
         for (TaskRef other : here) {
             if (other != ref) {
@@ -261,13 +261,13 @@
     Job& j = cluster.jobs[ref.job];
     Id machine = cluster.task(ref).machine;
     Machine& m = cluster.machines[machine];
-    for (Id failed : m.error_jobs) {
+    for (Id failed : m.health.failing_jobs) {
         if (failed != ref.job) {
             cluster.jobs[failed].exonerated_machines.insert(machine);
         }
     }
-    m.error_jobs.clear();
-    m.error_done = 0;
+    m.health.failing_jobs.clear();
+    m.health.failed_jobs_done_elsewhere = 0;
     if (!j.spec.gang()) {
         cluster.mark_done(ref);
         return;
@@ -313,7 +313,7 @@
         attribute_failure(now, ref, machine);
     } else if (r.cause == "no_room") {
         // Our cluster state and the machine differ; let it report what it has before it gets more.
-        m.backoff_until = std::max(m.backoff_until, now + 2000);
+        m.health.backoff_until = std::max(m.health.backoff_until, now + 2000);
     } else if (r.cause == "busy") {
         j.not_before = std::max(j.not_before, now + 1000);
     } else if (r.cause == "unknown") {
--- a/src/coordination/zone_failover/zone_failover_manager.cpp
+++ b/src/coordination/zone_failover/zone_failover_manager.cpp
@@ -160,7 +160,7 @@
                                   const StoreResponse& reply) {
     Zone& zone = zones_[id];
     zone.writing = false;
-    if (reply.status == 200) {
+    if (reply.status == StoreStatus::ok) {
         zone.version = reply.revision;
         zone.rewrite = false;
         zone.written_at = now;
@@ -169,7 +169,7 @@
     }
     zone.write_at = now + kRetry;
     // An earlier copy of ours may have got there: the view shows its stamp.
-    if (reply.status == 409 && !context_.deposed_by(now, reply)) {
+    if (reply.status == StoreStatus::conflict && !context_.deposed_by(now, reply)) {
         context_.refresh(now);
     }
 }
@@ -203,13 +203,13 @@
 // ---- evidence
 
 bool ZoneFailoverManager::expects_report(const Machine& m, Ms now) const {
-    if (!m.registered || m.quarantined) {
+    if (!m.registered || m.health.quarantined) {
         return false;
     }
     // One that an earlier leader used, or that the cloud lists as running, has a worker that should
     // have found this leader by now.
-    bool was_up = m.cloud == CloudStatus::running || !m.tasks.empty();
-    return m.reported || (!m.requested_by_this_leader && was_up && now > judging_since());
+    bool was_up = m.listing.state == CloudMachineState::running || !m.tasks.empty();
+    return m.worker.reported || (!m.requested_by_this_leader && was_up && now > judging_since());
 }
 
 ZoneFailoverManager::Hearing ZoneFailoverManager::hear(Ms now, const Machine& m,
@@ -219,7 +219,7 @@
     if (leaves && !watch.left) {
         watch.left = true;
         // Given back for its silence; or taken unannounced, also before it could find this leader.
-        bool unmet = !m.reported && !m.requested_by_this_leader;
+        bool unmet = !m.worker.reported && !m.requested_by_this_leader;
         bool taken = m.releasing ? watch.last == Hearing::silent
                                  : watch.last != Hearing::not_expected || unmet;
         watch.taken_at = taken ? now : -1;
@@ -230,7 +230,7 @@
     }
     bool heard = workers.reported_recently(m, now);
     // One that the cloud has said it takes says nothing of its zone.
-    watch.noticed = m.reclaim_at >= 0 || (watch.noticed && !heard);
+    watch.noticed = m.worker.reclaim_at >= 0 || (watch.noticed && !heard);
     bool expected = expects_report(m, now) && !watch.noticed;
     watch.last = !expected ? Hearing::not_expected : heard ? Hearing::heard : Hearing::silent;
     return watch.last;
--- a/src/protocol/cloud_wire.cpp
+++ b/src/protocol/cloud_wire.cpp
@@ -40,10 +40,29 @@
     return h;
 }
 
+namespace {
+CloudCallStatus status_of(int code) {
+    switch (code) {
+        case 0:
+            return CloudCallStatus::no_response;
+        case 200:
+            return CloudCallStatus::ok;
+        case 400:
+            return CloudCallStatus::malformed;
+        case 429:
+            return CloudCallStatus::rate_limited;
+        case 503:
+            return CloudCallStatus::unavailable;
+        default:
+            return CloudCallStatus::unexpected;
+    }
+}
+}  // namespace
+
 CloudResponse decode_cloud(const CloudRequest& c, int code, std::string_view body, Names& names) {
     CloudResponse r;
     r.call = c.call;
-    r.status = code;
+    r.status = status_of(code);
     if (code == 0) {
         return r;
     }
@@ -51,7 +70,9 @@
     if (code == 503 && doc && doc->is_object() && !absent(*doc, "error")) {
         // Only this answer says surely that nothing was rented; an outage says nothing.
         const Json& e = (*doc)["error"];
-        r.more = e.is_string() && e.get<std::string>() == "no capacity";
+        if (e.is_string() && e.get<std::string>() == "no capacity") {
+            r.status = CloudCallStatus::no_capacity;
+        }
     }
     if (code != 200) {
         return r;
@@ -94,14 +115,14 @@
                 m.age_s = absent(w, "heldS") ? 0 : decimal(w, "heldS");
                 std::string status = text(w, "status");
                 if (status == "booting") {
-                    m.status = CloudStatus::booting;
+                    m.status = CloudMachineState::booting;
                 } else if (status == "failed") {
-                    m.status = CloudStatus::failed;
+                    m.status = CloudMachineState::failed;
                 } else {
                     if (status != "running") {
                         spdlog::warn("machine status '{}' not known", status);
                     }
-                    m.status = CloudStatus::running;
+                    m.status = CloudMachineState::running;
                 }
                 r.machines.push_back(std::move(m));
             }
@@ -110,10 +131,10 @@
         }
     } catch (const BadField& e) {
         spdlog::warn("answer of the cloud not understood: {}", e.what);
-        r = CloudResponse{c.call, 0, {}, {}, {}, false};
+        r = CloudResponse{c.call, CloudCallStatus::no_response, {}, {}, {}, false};
     } catch (const Json::exception&) {
         spdlog::warn("answer of the cloud not understood");
-        r = CloudResponse{c.call, 0, {}, {}, {}, false};
+        r = CloudResponse{c.call, CloudCallStatus::no_response, {}, {}, {}, false};
     }
     return r;
 }
--- a/src/protocol/state_wire.cpp
+++ b/src/protocol/state_wire.cpp
@@ -67,11 +67,37 @@
     return h;
 }
 
+namespace {
+StoreStatus status_of(int code) {
+    switch (code) {
+        case 0:
+            return StoreStatus::no_response;
+        case 200:
+            return StoreStatus::ok;
+        case 400:
+            return StoreStatus::too_large;
+        case 404:
+            return StoreStatus::not_found;
+        case 409:
+            return StoreStatus::conflict;
+        case 410:
+            return StoreStatus::compacted;
+        case 429:
+            return StoreStatus::rate_limited;
+        case 503:
+            return StoreStatus::unavailable;
+        default:
+            return StoreStatus::unexpected;
+    }
+}
+}  // namespace
+
 StoreResponse decode_state(const StoreRequest& c, int code, std::string_view body) {
     StoreResponse r;
     r.call = c.call;
-    r.status = code;
-    if (code == 0 || code == 429 || code == 503) {
+    r.status = status_of(code);
+    if (r.status == StoreStatus::no_response || r.status == StoreStatus::rate_limited ||
+        r.status == StoreStatus::unavailable) {
         return r;
     }
     if (body.empty() && (code == 204 || c.operation == StoreOperation::lease_revoke)) {
@@ -81,7 +107,7 @@
     if (!doc || !doc->is_object()) {
         // Whatever it meant, it may have been executed.
         if (code == 200) {
-            r.status = 0;
+            r.status = StoreStatus::no_response;
         }
         return r;
     }
@@ -129,11 +155,11 @@
         }
     } catch (const BadField& e) {
         spdlog::warn("answer of the state service not understood: {}", e.what);
-        r.status = 0;
+        r.status = StoreStatus::no_response;
         r.rows.clear();
     } catch (const Json::exception&) {
         spdlog::warn("answer of the state service not understood");
-        r.status = 0;
+        r.status = StoreStatus::no_response;
         r.rows.clear();
     }
     return r;
--- a/src/protocol/worker_wire.cpp
+++ b/src/protocol/worker_wire.cpp
@@ -137,8 +137,15 @@
 }
 
 WorkerResponse decode_worker(CallId call, int code, std::string_view body) {
-    WorkerResponse r{call, code, std::nullopt};
-    if (code != 200 && code != 409) {
+    WorkerResponse r;
+    r.call = call;
+    if (code == 0) {
+        return r;
+    }
+    r.status = code == 200   ? WorkerCallStatus::ok
+               : code == 409 ? WorkerCallStatus::conflict
+                             : WorkerCallStatus::unexpected;
+    if (r.status == WorkerCallStatus::unexpected) {
         return r;
     }
     if (auto doc = unpack(body)) {
--- a/src/transport/process.cpp
+++ b/src/transport/process.cpp
@@ -151,7 +151,7 @@
     auto it = workers_.find(call.address);
     if (it == workers_.end()) {
         if (workers_.size() >= most_worker_lines_) {
-            receive(WorkerResponse{call.call, 0, std::nullopt});
+            receive(WorkerResponse{call.call, WorkerCallStatus::no_response, std::nullopt});
             return;
         }
         WorkerLine line;
--- a/tests/leader_test.cpp
+++ b/tests/leader_test.cpp
@@ -126,7 +126,7 @@
                     }
                     StoreResponse r;
                     r.call = s->call;
-                    r.status = 200;
+                    r.status = StoreStatus::ok;
                     r.revision = ++revision;
                     context->store.reply(now, r);
                 }
@@ -468,10 +468,10 @@
     // Nothing else fits it for the moment, so its loss is written down.
     w.leader->context()
         .cluster.machines[w.leader->context().cluster.find_machine("host-1")]
-        .backoff_until = w.now + 400;
+        .health.backoff_until = w.now + 400;
     w.leader->context()
         .cluster.machines[w.leader->context().cluster.find_machine("host-2")]
-        .backoff_until = w.now + 400;
+        .health.backoff_until = w.now + 400;
     std::size_t before = w.written.size();
     w.heartbeat(lost, {}, 50, 2);
     w.pass(300);
@@ -574,7 +574,7 @@
             }
             CloudResponse r;
             r.call = c.call;
-            r.status = 200;
+            r.status = CloudCallStatus::ok;
             w.context->cloud.reply(w.now, r);
         }
         w.asked.clear();
@@ -596,7 +596,7 @@
             if (call.operation == operation) {
                 CloudResponse reply;
                 reply.call = call.call;
-                reply.status = 200;
+                reply.status = CloudCallStatus::ok;
                 reply.names = names;
                 w.context->cloud.reply(w.now, reply);
                 ++answered;
@@ -632,10 +632,10 @@
     copy.worker_status.fencing_token = 50;
     copy.worker_status.notice_s = 5;
     w.leader->heartbeat(w.now, copy);
-    EXPECT_GE(w.cluster().machines[m].reclaim_at, 0);
+    EXPECT_GE(w.cluster().machines[m].worker.reclaim_at, 0);
     w.sequence += 2;
     w.heartbeat("host-1");
-    EXPECT_LT(w.cluster().machines[m].reclaim_at, 0);
+    EXPECT_LT(w.cluster().machines[m].worker.reclaim_at, 0);
 }
 
 TEST(Quarantine, AMachineThatFailsTwoJobsGoesAndAJobThatFailsTwiceIsBlamedItself) {
@@ -692,7 +692,7 @@
     }
     int quarantined = 0;
     for (const Machine& m : w.cluster().machines) {
-        quarantined += m.quarantined;
+        quarantined += m.health.quarantined;
     }
     EXPECT_GE(quarantined, 1);
 }
@@ -734,7 +734,7 @@
         w.pass(300);
     }
     for (const Machine& m : w.cluster().machines) {
-        EXPECT_FALSE(m.quarantined) << m.name;
+        EXPECT_FALSE(m.health.quarantined) << m.name;
     }
     EXPECT_GE(
         w.cluster().jobs[w.leader->context().cluster.find_job("j-9")].exonerated_machines.size(),
@@ -773,8 +773,7 @@
             tried.insert(c.machine_type + c.zone + (c.spot ? "s" : "o"));
             CloudResponse r;
             r.call = c.call;
-            r.status = 503;
-            r.more = true;
+            r.status = CloudCallStatus::no_capacity;
             w.context->cloud.reply(w.now, r);
         }
         w.pass(50);
@@ -882,11 +881,11 @@
     });
     w.lead({{"host-1", 0}});
     w.pass(14000);
-    ASSERT_TRUE(w.cluster().machines[0].lease_expired);
+    ASSERT_TRUE(w.cluster().machines[0].worker.lease_expired);
     w.heartbeat("host-1", {}, 50, 2);
     w.pass(500);
     EXPECT_FALSE(w.answers.count(w.sequence));
-    EXPECT_FALSE(w.cluster().machines[0].lease_expired);
+    EXPECT_FALSE(w.cluster().machines[0].worker.lease_expired);
 }
 
 // Who leads no more owes an answer to every report it holds.
@@ -1053,7 +1052,7 @@
         }
         context.out.clear();
     };
-    auto reply = [&](Ms now, const StoreRequest& c, int status, std::uint64_t revision,
+    auto reply = [&](Ms now, const StoreRequest& c, StoreStatus status, std::uint64_t revision,
                      std::vector<StoreEntry> rows = {}) {
         StoreResponse r;
         r.call = c.call;
@@ -1069,7 +1068,7 @@
         ASSERT_EQ(asked.back().operation, StoreOperation::list);
         constexpr int kMostReadings = 20;
         for (int i = 0; i < kMostReadings && asked.back().operation == StoreOperation::list; ++i) {
-            reply(now, StoreRequest(asked.back()), 200, revision);
+            reply(now, StoreRequest(asked.back()), StoreStatus::ok, revision);
         }
         ASSERT_TRUE(watcher.ready());
     };
@@ -1080,14 +1079,14 @@
     watcher.barrier(2000, [&](Ms, bool ok) { (ok ? proven : failed) += 1; });
     collect();
     StoreRequest barrier = asked.back();
-    reply(2100, watch, 410, 10);
+    reply(2100, watch, StoreStatus::compacted, 10);
     read_all(2200, 12000);
     JobSpec s;
     s.id = "j-1";
     s.team = 0;
     context.names.teams.intern("red");
     StoreEntry old{keys::job("j-1"), encode_job({s, false}, context.names), 11};
-    reply(2300, barrier, 200, 11, {old});
+    reply(2300, barrier, StoreStatus::ok, 11, {old});
     EXPECT_EQ(context.replica.job("j-1"), nullptr);
     EXPECT_EQ(proven, 0);
     EXPECT_EQ(failed, 1);
@@ -1199,7 +1198,7 @@
             }
             StoreResponse r;
             r.call = s->call;
-            r.status = 200;
+            r.status = StoreStatus::ok;
             for (Output& n : controller.step(1000 + i, r)) {
                 next.push_back(std::move(n));
             }
@@ -1233,7 +1232,7 @@
                 s && s->operation == StoreOperation::list) {
                 StoreResponse r;
                 r.call = s->call;
-                r.status = 200;
+                r.status = StoreStatus::ok;
                 r.revision = revision;
                 if (s->key == keys::kLeader) {
                     r.rows = {{keys::kLeader, encode_leader({"n2", "n2-1"}), 9}};
@@ -1246,7 +1245,7 @@
                 ++watches;
                 StoreResponse r;
                 r.call = s->call;
-                r.status = 200;
+                r.status = StoreStatus::ok;
                 r.revision = ++revision;
                 for (Output& n : controller.step(now, r)) {
                     out.push_back(std::move(n));
@@ -1298,7 +1297,7 @@
             if (const auto* call = std::get_if<StoreRequest>(&out[i]); call && call->wait_ms == 0) {
                 StoreResponse reply;
                 reply.call = call->call;
-                reply.status = 200;
+                reply.status = StoreStatus::ok;
                 reply.lease = 7;
                 reply.revision =
                     call->operation == StoreOperation::transaction ? ++revision : revision;
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -180,17 +180,20 @@
     Names names;
     CloudRequest call;
     call.operation = CloudOperation::scale_out;
-    EXPECT_TRUE(decode_cloud(call, 503, pack(Json{{"error", "no capacity"}}), names).more);
-    EXPECT_FALSE(decode_cloud(call, 503, pack(Json{{"error", "trouble"}}), names).more);
+    EXPECT_EQ(decode_cloud(call, 503, pack(Json{{"error", "no capacity"}}), names).status,
+              CloudCallStatus::no_capacity);
+    EXPECT_EQ(decode_cloud(call, 503, pack(Json{{"error", "trouble"}}), names).status,
+              CloudCallStatus::unavailable);
     EXPECT_FALSE(decode_cloud(call, 503, "", names).more);
 }
 
 TEST(Wire, AnAnswerOfTheStateServiceThatIsNotUnderstoodCountsAsNone) {
     StoreRequest call;
     call.operation = StoreOperation::transaction;
-    EXPECT_EQ(decode_state(call, 200, "garbage").status, 0);
+    EXPECT_EQ(decode_state(call, 200, "garbage").status, StoreStatus::no_response);
     call.operation = StoreOperation::list;
-    EXPECT_EQ(decode_state(call, 200, pack(Json{{"rows", {{{"k", 5}}}}})).status, 0);
+    EXPECT_EQ(decode_state(call, 200, pack(Json{{"rows", {{{"k", 5}}}}})).status,
+              StoreStatus::no_response);
 }
 
 TEST(Peers, FramesComeBackAndDamagedOnesAreDropped) {
--- a/tests/standin/controllers.cpp
+++ b/tests/standin/controllers.cpp
@@ -126,7 +126,7 @@
                         const std::function<void(StoreResponse)>& respond) {
     constexpr Ms kLookAgain = 25;
     StoreResponse reply = state_->execute(now_, controller, call);
-    bool nothing_yet = reply.status == 503 || reply.rows.empty();
+    bool nothing_yet = reply.status == StoreStatus::unavailable || reply.rows.empty();
     if (nothing_yet && now_ < until) {
         at(now_ + kLookAgain, [this, controller, call, until, respond] {
             watch_state(controller, call, until, respond);
@@ -156,14 +156,16 @@
     none.call = c.call;
     bool writes = c.operation == StoreOperation::transaction && !c.transaction.writes.empty();
     if (writes && now_ < active_.late_writes && chance(0.4)) {
-        at(now_ + pick(2000, 12000),
-           [this, me, c] { written_late += state_->execute(now_, me, c).status == 200; });
+        at(now_ + pick(2000, 12000), [this, me, c] {
+            written_late += state_->execute(now_, me, c).status == StoreStatus::ok;
+        });
         at(now_ + kCallTimeout, [back, none] { back(none); });
         return;
     }
     if (writes && now_ < active_.lost_answers && chance(0.4)) {
-        at(now_ + pick(1, 8),
-           [this, me, c] { answers_lost += state_->execute(now_, me, c).status == 200; });
+        at(now_ + pick(1, 8), [this, me, c] {
+            answers_lost += state_->execute(now_, me, c).status == StoreStatus::ok;
+        });
         at(now_ + kCallTimeout, [back, none] { back(none); });
         return;
     }
@@ -192,9 +194,9 @@
         [this, c, i](const std::function<void(CloudResponse)>& respond) {
             CloudResponse reply;
             reply.call = c.call;
-            reply.status = 200;
+            reply.status = CloudCallStatus::ok;
             if (now_ < cloud_->out_until) {
-                reply.status = 503;
+                reply.status = CloudCallStatus::unavailable;
                 respond(reply);
                 return;
             }
@@ -249,8 +251,7 @@
     Ms dark_until = zone_dark_until(c.zone);
     bool refused = dark_until >= 0 && !lost_zones_.at(c.zone).scales_out;
     if (room <= 0 || refused) {
-        reply.status = 503;
-        reply.more = true;
+        reply.status = CloudCallStatus::no_capacity;
         return;
     }
     for (int n = 0; n < std::min<int>(room, static_cast<int>(c.count)); ++n) {
@@ -297,7 +298,8 @@
         listed.machine_type = machine_type_names_[machine.machine_type];
         listed.zone = machine.zone;
         listed.spot = machine.spot;
-        listed.status = machine.up <= then ? CloudStatus::running : CloudStatus::booting;
+        listed.status =
+            machine.up <= then ? CloudMachineState::running : CloudMachineState::booting;
         listed.age_s = static_cast<double>(then - machine.created_version) / 1000.0;
         reply.machines.push_back(listed);
     }
@@ -311,7 +313,7 @@
     if (!c.commands.empty() && now_ < active_.late_commands && chance(0.5)) {
         at(now_ + pick(2000, 16000), [this, c] {
             if (auto reply = obey(c)) {
-                commands_late += reply->status == 200;
+                commands_late += reply->status == WorkerCallStatus::ok;
             }
         });
         at(now_ + 3000, [back, none] { back(none); });
@@ -341,7 +343,7 @@
         worker.fencing_token = c.fencing_token;
         changed(worker);
     }
-    reply.status = stale ? 409 : 200;
+    reply.status = stale ? WorkerCallStatus::conflict : WorkerCallStatus::ok;
     if (!stale) {
         for (const WorkerCommand& o : c.commands) {
             execute(worker, o);
--- a/tests/standin/key_value_store.cpp
+++ b/tests/standin/key_value_store.cpp
@@ -68,7 +68,7 @@
 void KeyValueStore::get(const std::string& key, StoreResponse& reply) const {
     auto row = rows_.find(key);
     if (row == rows_.end()) {
-        reply.status = 404;
+        reply.status = StoreStatus::not_found;
         return;
     }
     reply.rows.push_back({key, row->second.value, row->second.version});
@@ -116,12 +116,12 @@
 void KeyValueStore::transact(Ms now, const Transaction& transaction, StoreResponse& reply) {
     if (!within_size(transaction)) {
         ++refused_for_size;
-        reply.status = 400;
+        reply.status = StoreStatus::too_large;
         return;
     }
     if (!within_rate(now, transaction.writes.size())) {
         ++refused_for_rate;
-        reply.status = 429;
+        reply.status = StoreStatus::rate_limited;
         return;
     }
     for (const Comparison& condition : transaction.comparisons) {
@@ -132,14 +132,14 @@
         }
     }
     if (!reply.failed.empty()) {
-        reply.status = 409;
+        reply.status = StoreStatus::conflict;
         return;
     }
     bool lease_over =
         std::any_of(transaction.writes.begin(), transaction.writes.end(),
                     [this](const Write& w) { return w.lease != 0 && leases_.count(w.lease) == 0; });
     if (lease_over) {
-        reply.status = 400;
+        reply.status = StoreStatus::too_large;
         return;
     }
     ++revision_;
@@ -160,10 +160,10 @@
     reply.call = call.call;
     expire(now);
     if (!serves(controller, now)) {
-        reply.status = 503;
+        reply.status = StoreStatus::unavailable;
         return reply;
     }
-    reply.status = 200;
+    reply.status = StoreStatus::ok;
     reply.revision = revision_;
     switch (call.operation) {
         case StoreOperation::get:
@@ -183,7 +183,7 @@
         case StoreOperation::lease_renew: {
             auto lease = leases_.find(call.lease);
             if (lease == leases_.end()) {
-                reply.status = 404;
+                reply.status = StoreStatus::not_found;
             } else {
                 lease->second.until = now + lease->second.ttl;
             }
