--- a/src/coordination/term_fwd.hpp
+++ /dev/null
@@ -1,6 +0,0 @@
-#pragma once
-
-namespace walkford {
-struct Term;
-class TaskLifecycle;
-}  // namespace walkford
