--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -12,6 +12,7 @@
 #include <map>
 #include <thread>
 
+#include "loopback/platform_documents.hpp"
 #include "loopback/stand_ins.hpp"
 #include "protocol/messagepack_codec.hpp"
 #include "transport/http_client.hpp"
@@ -31,32 +32,14 @@
         state_server = std::make_unique<Served>(
             base.get(), [this](auto& m, auto& p, auto& b) { return state.serve(m, p, b); });
         cloud_server = std::make_unique<Served>(
-            base.get(), [](const std::string& m, const std::string& p, const Json&) {
-                if (p == "/flavors") {
-                    return std::pair{200, Json{{"builds",
-                                                {{{"name", "k"},
-                                                  {"vcpus", 8},
-                                                  {"gpus", 0},
-                                                  {"ramGb", 32},
-                                                  {"cacheGb", 50},
-                                                  {"fetchGbPerS", 1.0},
-                                                  {"price", 1.0},
-                                                  {"lowPrice", 0.3},
-                                                  {"readyS", 5},
-                                                  {"yards", {"a"}}}}}}};
+            base.get(), [](const std::string&, const std::string& path, const Json&) {
+                if (path == "/flavors") {
+                    return std::pair{200, machine_types_document({"a"})};
                 }
-                if (p.rfind("/machines?", 0) == 0) {
-                    return std::pair{200, Json{{"walkers",
-                                                {{{"uid", "host-1"},
-                                                  {"endpoint", "127.0.0.1:1"},
-                                                  {"build", "k"},
-                                                  {"yard", "a"},
-                                                  {"loaners", false},
-                                                  {"status", "running"},
-                                                  {"heldS", 100.0}}}},
-                                               {"truncated", false}}};
+                if (path.rfind("/machines?", 0) == 0) {
+                    Json machines = Json::array({machine_document("host-1", "a")});
+                    return std::pair{200, Json{{"walkers", machines}, {"truncated", false}}};
                 }
-                (void)m;
                 return std::pair{503, Json{{"error", "no capacity"}}};
             });
         for (int i = 0; i < 3; ++i) {
@@ -91,33 +74,21 @@
         Json seeds = Json::array();
         for (int k = 0; k < 3; ++k) {
             if (k != i) {
-                seeds.push_back(Json{{"node_name", "n" + std::to_string(k)},
-                                     {"location", "a"},
-                                     {"endpoint", peer[k]}});
+                seeds.push_back(seed_document("n" + std::to_string(k), "a", peer[k]));
             }
         }
-        Json s{{"node_name", "n" + std::to_string(i)},
-               {"location", "a"},
-               {"serve_on", serve[i]},
-               {"cluster_listen", peer[i]},
-               {"seeds", seeds},
-               {"external", {{"cloud", cloud_server->address}, {"state", state_server->address}}},
-               {"params",
-                {{"nodes", 3},
-                 {"zones", {"a"}},
-                 {"teams", {{{"name", "t"}, {"cpus", 0}, {"cpus_max", 0}}}},
-                 {"workers",
-                  {{"report_s", 0.5},
-                   {"lease_s", 8},
-                   {"gang_wait_s", 5},
-                   {"gang_peer_s", 2},
-                   {"cancel_s", 20}}},
-                 {"state", {{"rps", 1000}, {"write_rps", 500}, {"value_kb", 4}, {"txn_ops", 8}}},
-                 {"cloud", {{"rps", 20}, {"list_lag_s", 1}}},
-                 {"machine_limits", {{"fd_limit", 300}}}}}};
+        Json settings = settings_document({"n" + std::to_string(i),
+                                           "a",
+                                           serve[i],
+                                           peer[i],
+                                           seeds,
+                                           cloud_server->address,
+                                           state_server->address,
+                                           3,
+                                           {"a"}});
         std::string path = testing::TempDir() + "walkford-loopback-" + std::to_string(getpid()) +
                            "-" + std::to_string(i) + ".json";
-        std::ofstream(path) << s.dump();
+        std::ofstream(path) << settings.dump();
         pids[i] = fork();
         if (pids[i] == 0) {
             setenv("LOG_LEVEL", "error", 1);
@@ -214,23 +185,8 @@
         return tasks.size() == count;
     }
     std::string job(const std::string& id, const std::string& shape = "batch") {
-        return pack(Json{{"uid", id},
-                         {"lane", "l"},
-                         {"owner", "t"},
-                         {"shape", shape},
-                         {"rank", "normal"},
-                         {"pieces", 2},
-                         {"vcpus", 2.0},
-                         {"gpus", 0.0},
-                         {"ramGb", 4.0},
-                         {"bundle", "img"},
-                         {"imageGb", 1.0},
-                         {"samePlace", false},
-                         {"spread", false},
-                         {"loaners", false},
-                         {"guessS", shape == "service" ? 0.0 : 5.0},
-                         {"bookmarkS", 0.0},
-                         {"stashS", 0.0}});
+        double estimate_s = shape == "service" ? 0.0 : 5.0;
+        return pack(submission_document({id, "l", shape, 2, 2.0, "img", estimate_s}));
     }
 
     EventBase base{event_base_new()};
--- a/tests/zone_loopback_test.cpp
+++ b/tests/zone_loopback_test.cpp
@@ -10,6 +10,7 @@
 #include <thread>
 
 #include "loopback/fleet.hpp"
+#include "loopback/platform_documents.hpp"
 #include "loopback/stand_ins.hpp"
 #include "loopback/zone_proxy.hpp"
 
@@ -21,13 +22,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr int kNodes = 3;
+constexpr int kControllers = 3;
 constexpr const char* kNetworkOfA = "127.1.0.0/16";
 constexpr const char* kEverywhere = "0.0.0.0/0";
-constexpr const char* kStateIp = "127.3.0.1";
+constexpr const char* kStoreIp = "127.3.0.1";
 constexpr const char* kCloudIp = "127.3.0.2";
-const std::string kNodeIp[kNodes] = {"127.1.0.10", "127.2.0.10", "127.2.0.11"};
-const std::string kNodeZone[kNodes] = {"a", "b", "b"};
+const std::string kControllerIp[kControllers] = {"127.1.0.10", "127.2.0.10", "127.2.0.11"};
+const std::string kControllerZone[kControllers] = {"a", "b", "b"};
 const std::map<std::string, std::string> kWorkerIp{{"a", "127.1.1.1"}, {"b", "127.2.1.1"}};
 
 constexpr const char* kProperties =
@@ -47,12 +48,12 @@
     void SetUp() override {
         state_server = std::make_unique<Served>(
             base.get(), [this](auto& m, auto& p, auto& b) { return state.serve(m, p, b); },
-            kStateIp);
+            kStoreIp);
         cloud_server = std::make_unique<Served>(
             base.get(), [](auto&, auto& path, auto&) { return cloud(path); }, kCloudIp);
-        for (int i = 0; i < kNodes; ++i) {
-            serve[i] = kNodeIp[i] + ":" + std::to_string(free_port(kNodeIp[i].c_str()));
-            peer[i] = kNodeIp[i] + ":" + std::to_string(free_port(kNodeIp[i].c_str()));
+        for (int i = 0; i < kControllers; ++i) {
+            serve[i] = kControllerIp[i] + ":" + std::to_string(free_port(kControllerIp[i].c_str()));
+            peer[i] = kControllerIp[i] + ":" + std::to_string(free_port(kControllerIp[i].c_str()));
         }
         LoopbackFleet::Clients clients;
         for (const auto& [zone, ip] : kWorkerIp) {
@@ -83,63 +84,34 @@
     }
     static std::pair<int, Json> cloud(const std::string& path) {
         if (path == "/flavors") {
-            return {200, Json{{"builds",
-                               {{{"name", "k"},
-                                 {"vcpus", 8},
-                                 {"gpus", 0},
-                                 {"ramGb", 32},
-                                 {"cacheGb", 50},
-                                 {"fetchGbPerS", 1.0},
-                                 {"price", 1.0},
-                                 {"lowPrice", 0.3},
-                                 {"readyS", 5},
-                                 {"yards", {"a", "b"}}}}}}};
+            return {200, machine_types_document({"a", "b"})};
         }
         if (path.rfind("/machines?", 0) != 0) {
             return {503, Json{{"error", "no capacity"}}};
         }
         Json machines = Json::array();
         for (int i = 0; i < 8; ++i) {
-            machines.push_back({{"uid", "host-" + std::to_string(i)},
-                                {"endpoint", "127.0.0.1:1"},
-                                {"build", "k"},
-                                {"yard", i < 4 ? "a" : "b"},
-                                {"loaners", false},
-                                {"status", "running"},
-                                {"heldS", 100.0}});
+            machines.push_back(machine_document("host-" + std::to_string(i), i < 4 ? "a" : "b"));
         }
         return {200, Json{{"walkers", machines}, {"truncated", false}}};
     }
     Json settings(int i) {
         Json seeds = Json::array();
-        for (int k = 0; k < kNodes; ++k) {
+        for (int k = 0; k < kControllers; ++k) {
             if (k != i) {
-                seeds.push_back({{"node_name", "n" + std::to_string(k)},
-                                 {"location", kNodeZone[k]},
-                                 {"endpoint", proxy.link(kNodeIp[i], peer[k])}});
+                seeds.push_back(seed_document("n" + std::to_string(k), kControllerZone[k],
+                                              proxy.link(kControllerIp[i], peer[k])));
             }
         }
-        return {{"node_name", "n" + std::to_string(i)},
-                {"location", kNodeZone[i]},
-                {"serve_on", serve[i]},
-                {"cluster_listen", peer[i]},
-                {"seeds", seeds},
-                {"external",
-                 {{"cloud", proxy.link(kNodeIp[i], cloud_server->address)},
-                  {"state", proxy.link(kNodeIp[i], state_server->address)}}},
-                {"params",
-                 {{"nodes", kNodes},
-                  {"zones", {"a", "b"}},
-                  {"teams", {{{"name", "t"}, {"cpus", 0}, {"cpus_max", 0}}}},
-                  {"workers",
-                   {{"report_s", 0.5},
-                    {"lease_s", 8},
-                    {"gang_wait_s", 5},
-                    {"gang_peer_s", 2},
-                    {"cancel_s", 20}}},
-                  {"state", {{"rps", 1000}, {"write_rps", 500}, {"value_kb", 4}, {"txn_ops", 8}}},
-                  {"cloud", {{"rps", 20}, {"list_lag_s", 1}}},
-                  {"machine_limits", {{"fd_limit", 300}}}}}};
+        return settings_document({"n" + std::to_string(i),
+                                  kControllerZone[i],
+                                  serve[i],
+                                  peer[i],
+                                  seeds,
+                                  proxy.link(kControllerIp[i], cloud_server->address),
+                                  proxy.link(kControllerIp[i], state_server->address),
+                                  kControllers,
+                                  {"a", "b"}});
     }
     void start(int i) {
         std::string stem = testing::TempDir() + "walkford-zones-" + std::to_string(getpid()) + "-" +
@@ -186,23 +158,8 @@
     void submit(int controller, const std::string& job_class, milliseconds runs) {
         std::string id = "j-" + std::to_string(100000 + jobs.size());
         jobs[id] = {job_class, "img-" + job_class, runs};
-        std::string body = pack(Json{{"uid", id},
-                                     {"lane", job_class},
-                                     {"owner", "t"},
-                                     {"shape", "batch"},
-                                     {"rank", "normal"},
-                                     {"pieces", 1},
-                                     {"vcpus", 4.0},
-                                     {"gpus", 0.0},
-                                     {"ramGb", 4.0},
-                                     {"bundle", "img-" + job_class},
-                                     {"imageGb", 1.0},
-                                     {"samePlace", false},
-                                     {"spread", false},
-                                     {"loaners", false},
-                                     {"guessS", 20.0},
-                                     {"bookmarkS", 0.0},
-                                     {"stashS", 0.0}});
+        std::string body =
+            pack(submission_document({id, job_class, "batch", 1, 4.0, "img-" + job_class, 20.0}));
         for (int i = 0; i < 100; ++i) {
             int code = ask(controller, Method::post, "/work", body).first;
             if (code == 200 || code == 201) {
@@ -252,7 +209,7 @@
     ZoneProxy proxy{base.get()};
     State state;
     std::unique_ptr<Served> state_server, cloud_server;
-    std::string serve[kNodes], peer[kNodes];
+    std::string serve[kControllers], peer[kControllers];
     std::vector<pid_t> pids;
     std::map<std::string, LoopbackJob> jobs;
     std::unique_ptr<LoopbackFleet> fleet;
@@ -260,7 +217,7 @@
 };
 
 TEST_F(ZoneLoopback, WorkLeavesInOrderAndEveryJobEndsOnce) {
-    for (int i = 0; i < kNodes; ++i) {
+    for (int i = 0; i < kControllers; ++i) {
         EXPECT_TRUE(until([&] { return ask(i, Method::get, "/ready").first == 200; }));
     }
     ASSERT_TRUE(until([&] { return state.rows.count("w/v/n2") > 0; }));
@@ -318,7 +275,7 @@
     EXPECT_EQ(zone_state(), "\"lost\"") << "well for longer than return_s, and held down";
 
     for (const auto& [id, job] : jobs) {
-        for (int controller = 0; controller < kNodes; ++controller) {
+        for (int controller = 0; controller < kControllers; ++controller) {
             EXPECT_TRUE(until([&, job_id = id] { return status(controller, job_id) == "done"; }))
                 << id << " of " << job.job_class;
         }
