--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -24,7 +24,7 @@
       scaler_(context_, zone_failover_) {
     ClusterState& cluster = context_.cluster;
     cluster.set_machine_types(controller.machine_types);
-    if (controller.operator_settings.place_order == "aim") {
+    if (controller.operator_settings.place_order == PlaceOrder::start_deadline) {
         cluster.start_budget = [&controller](const JobSpec& s) {
             double budget = s.deadline_s >= 0 ? std::max(0.0, s.deadline_s - s.estimate_s) : 600.0;
             if (s.service()) {
--- a/src/coordination/scaling/scaler.cpp
+++ b/src/coordination/scaling/scaler.cpp
@@ -378,7 +378,7 @@
         return it == machine_counts_.end() ? 0 : it->second;
     };
     std::stable_sort(list.begin(), list.end(), [&](const Option& a, const Option& b) {
-        if (operator_settings.order == "cores" && a.cores != b.cores) {
+        if (operator_settings.order == ScaleOrder::cores && a.cores != b.cores) {
             return a.cores > b.cores;
         }
         if (std::abs(a.cost - b.cost) > 1e-9) {
--- a/src/coordination/settings/operator_settings.hpp
+++ b/src/coordination/settings/operator_settings.hpp
@@ -1,13 +1,24 @@
 // What operators may set: Java-style properties, read once at the start of the program.
 #pragma once
 
-#include <string>
-#include <vector>
+#include <cstdint>
 
 #include "coordination/settings/zone_failover_settings.hpp"
 
 namespace walkford {
 
+// Which machine type is preferred where several would do.
+enum class ScaleOrder : std::uint8_t {
+    cost,   // the cheapest for the pending tasks
+    cores,  // the one with the most cores
+};
+
+// The order in which jobs of the same priority are placed.
+enum class PlaceOrder : std::uint8_t {
+    start_deadline,  // the earliest start deadline first
+    age,             // the oldest first
+};
+
 // The operators' own settings (properties); the defaults stand in deploy/walkford.properties.
 struct OperatorSettings {
     double mark_low = 0.80;
@@ -16,7 +27,7 @@
     double in_interval_s = 0.2;
     std::uint32_t max_per_machine_type = 10000;
     std::uint32_t permanent_first = 1;
-    std::string order = "cost";  // cost | cores
+    ScaleOrder order = ScaleOrder::cost;
     bool scale_out_unplaceable = true;
     double unplaceable_after_s = 6;
     double prefer_spot = 1.0;  // 0: never rent spot
@@ -39,7 +50,7 @@
     std::uint32_t max_reserving_gangs = 2;
     double reserve_after_s = 2;
     double opportunity_cost_s = 20;
-    std::string place_order = "aim";  // aim | age
+    PlaceOrder place_order = PlaceOrder::start_deadline;
     ZoneFailoverSettings zone_failover;
 
     bool operator==(const OperatorSettings&) const = default;
--- a/src/protocol/messagepack_codec.cpp
+++ b/src/protocol/messagepack_codec.cpp
@@ -6,34 +6,35 @@
 
 namespace {
 
-bool convert(const msgpack::object& o, Json& out) {
-    switch (o.type) {
+// False for what is no part of the protocol: binary, extensions, and keys that are no texts.
+bool convert(const msgpack::object& object, Json& out) {
+    switch (object.type) {
         case msgpack::type::NIL:
             out = nullptr;
             return true;
         case msgpack::type::BOOLEAN:
-            out = o.via.boolean;
+            out = object.via.boolean;
             return true;
         case msgpack::type::POSITIVE_INTEGER:
-            out = o.via.u64;
+            out = object.via.u64;
             return true;
         case msgpack::type::NEGATIVE_INTEGER:
-            out = o.via.i64;
+            out = object.via.i64;
             return true;
         case msgpack::type::FLOAT32:
         case msgpack::type::FLOAT64:
-            out = o.via.f64;
+            out = object.via.f64;
             return true;
         case msgpack::type::STR:
-            out = std::string(o.via.str.ptr, o.via.str.size);
+            out = std::string(object.via.str.ptr, object.via.str.size);
             return true;
         case msgpack::type::ARRAY: {
             out = Json::array();
             auto& list = out.get_ref<Json::array_t&>();
-            list.reserve(o.via.array.size);
-            for (std::uint32_t i = 0; i < o.via.array.size; ++i) {
+            list.reserve(object.via.array.size);
+            for (std::uint32_t i = 0; i < object.via.array.size; ++i) {
                 list.emplace_back();
-                if (!convert(o.via.array.ptr[i], list.back())) {
+                if (!convert(object.via.array.ptr[i], list.back())) {
                     return false;
                 }
             }
@@ -41,12 +42,13 @@
         }
         case msgpack::type::MAP: {
             out = Json::object();
-            for (std::uint32_t i = 0; i < o.via.map.size; ++i) {
-                const auto& kv = o.via.map.ptr[i];
-                if (kv.key.type != msgpack::type::STR) {
+            for (std::uint32_t i = 0; i < object.via.map.size; ++i) {
+                const auto& entry = object.via.map.ptr[i];
+                if (entry.key.type != msgpack::type::STR) {
                     return false;
                 }
-                if (!convert(kv.val, out[std::string(kv.key.via.str.ptr, kv.key.via.str.size)])) {
+                if (!convert(entry.val,
+                             out[std::string(entry.key.via.str.ptr, entry.key.via.str.size)])) {
                     return false;
                 }
             }
@@ -57,38 +59,38 @@
     }
 }
 
-void write(msgpack::packer<msgpack::sbuffer>& p, const Json& v) {
-    switch (v.type()) {
+void write(msgpack::packer<msgpack::sbuffer>& packer, const Json& value) {
+    switch (value.type()) {
         case Json::value_t::object:
-            p.pack_map(static_cast<std::uint32_t>(v.size()));
-            for (const auto& [key, item] : v.items()) {
-                p.pack(key);
-                write(p, item);
+            packer.pack_map(static_cast<std::uint32_t>(value.size()));
+            for (const auto& [key, item] : value.items()) {
+                packer.pack(key);
+                write(packer, item);
             }
             break;
         case Json::value_t::array:
-            p.pack_array(static_cast<std::uint32_t>(v.size()));
-            for (const Json& item : v) {
-                write(p, item);
+            packer.pack_array(static_cast<std::uint32_t>(value.size()));
+            for (const Json& item : value) {
+                write(packer, item);
             }
             break;
         case Json::value_t::string:
-            p.pack(v.get_ref<const std::string&>());
+            packer.pack(value.get_ref<const std::string&>());
             break;
         case Json::value_t::boolean:
-            p.pack(v.get<bool>());
+            packer.pack(value.get<bool>());
             break;
         case Json::value_t::number_integer:
-            p.pack(v.get<std::int64_t>());
+            packer.pack(value.get<std::int64_t>());
             break;
         case Json::value_t::number_unsigned:
-            p.pack(v.get<std::uint64_t>());
+            packer.pack(value.get<std::uint64_t>());
             break;
         case Json::value_t::number_float:
-            p.pack(v.get<double>());
+            packer.pack(value.get<double>());
             break;
         default:
-            p.pack_nil();
+            packer.pack_nil();
             break;
     }
 }
--- a/src/protocol/peer_frame.cpp
+++ b/src/protocol/peer_frame.cpp
@@ -7,10 +7,10 @@
 namespace walkford {
 
 namespace {
-// A text whose length is looked at before memory is asked for: a frame may claim any length.
+// A text whose length is checked before memory is allocated: a frame may claim any length.
 struct ShortText {
     std::string& text;
-    static constexpr cereal::size_type kMost = 512;
+    static constexpr cereal::size_type kMaxBytes = 512;
 
     template <class Archive>
     void save(Archive& archive) const {
@@ -21,7 +21,7 @@
     void load(Archive& archive) {
         cereal::size_type size = 0;
         archive(cereal::make_size_tag(size));
-        if (size > kMost) {
+        if (size > kMaxBytes) {
             throw std::length_error("text too long");
         }
         text.resize(static_cast<std::size_t>(size));
@@ -31,11 +31,12 @@
 }  // namespace
 
 template <class Archive>
-void serialize(Archive& archive, PeerHeartbeat& f) {
-    ShortText controller{f.controller}, incarnation{f.incarnation}, echo{f.echo_incarnation},
-        leader{f.leader};
-    archive(controller, incarnation, f.sequence, f.echo, echo, f.fencing_token, leader,
-            f.store_quiet_ms, f.up_ms, f.heartbeat_quiet_ms, f.revision);
+void serialize(Archive& archive, PeerHeartbeat& heartbeat) {
+    ShortText controller{heartbeat.controller}, incarnation{heartbeat.incarnation},
+        echo{heartbeat.echo_incarnation}, leader{heartbeat.leader};
+    archive(controller, incarnation, heartbeat.sequence, heartbeat.echo, echo,
+            heartbeat.fencing_token, leader, heartbeat.store_quiet_ms, heartbeat.up_ms,
+            heartbeat.heartbeat_quiet_ms, heartbeat.revision);
 }
 
 namespace protocol {
@@ -44,37 +45,37 @@
 constexpr std::uint32_t kVersion = 3;
 }
 
-std::string encode_frame(const PeerHeartbeat& fact) {
-    std::ostringstream s(std::ios::binary);
+std::string encode_frame(const PeerHeartbeat& heartbeat) {
+    std::ostringstream stream(std::ios::binary);
     {
-        cereal::PortableBinaryOutputArchive archive(s);
-        PeerHeartbeat copy = fact;
+        cereal::PortableBinaryOutputArchive archive(stream);
+        PeerHeartbeat copy = heartbeat;  // cereal takes no const object here
         archive(kVersion, copy);
     }
-    std::string body = s.str();
-    auto n = static_cast<std::uint32_t>(body.size());
+    std::string body = stream.str();
+    auto size = static_cast<std::uint32_t>(body.size());
     std::string frame;
     for (int shift = 24; shift >= 0; shift -= 8) {
-        frame.push_back(static_cast<char>(n >> shift));
+        frame.push_back(static_cast<char>(size >> shift));
     }
     return frame + body;
 }
 
 std::optional<PeerHeartbeat> decode_frame(std::string_view frame) {
-    if (frame.size() > kMostFrame) {
+    if (frame.size() > kMaxFrameBytes) {
         return std::nullopt;
     }
     try {
-        std::istringstream s{std::string(frame), std::ios::binary};
-        cereal::PortableBinaryInputArchive archive(s);
+        std::istringstream stream{std::string(frame), std::ios::binary};
+        cereal::PortableBinaryInputArchive archive(stream);
         std::uint32_t version = 0;
         archive(version);
         if (version != kVersion) {
             return std::nullopt;
         }
-        PeerHeartbeat f;
-        archive(f);
-        return f;
+        PeerHeartbeat heartbeat;
+        archive(heartbeat);
+        return heartbeat;
     } catch (const std::exception&) {
         return std::nullopt;
     }
--- a/src/protocol/peer_frame.hpp
+++ b/src/protocol/peer_frame.hpp
@@ -1,4 +1,4 @@
-// What controllers send one another: cereal frames with a version and a size limit.
+// The frames that controllers send one another: cereal archives with a version and a size limit.
 #pragma once
 
 #include <optional>
@@ -9,10 +9,13 @@
 
 namespace walkford::protocol {
 
-inline constexpr std::size_t kMostFrame = 4096;
+// The largest frame that is accepted, without its length.
+inline constexpr std::size_t kMaxFrameBytes = 4096;
 
-// Length (4 bytes, big endian), then the frame.
-std::string encode_frame(const PeerHeartbeat& fact);
+// The frame behind its length (4 bytes, big endian).
+std::string encode_frame(const PeerHeartbeat& heartbeat);
+// Decodes a frame without its length. Nothing where it is too large, malformed or of another
+// version.
 std::optional<PeerHeartbeat> decode_frame(std::string_view frame);
 
 }  // namespace walkford::protocol
--- a/src/protocol/properties_file.cpp
+++ b/src/protocol/properties_file.cpp
@@ -22,88 +22,112 @@
     double least;
     double most;
 };
+
+// A property that is one of several words.
+template <typename Value>
 struct Choice {
-    std::string* target;
-    std::vector<std::string> values;
+    // How the properties spell a value.
+    struct Spelling {
+        const char* word;
+        Value value;
+    };
+    Value* target;
+    std::vector<Spelling> spellings;
 };
-struct List {
+
+// A property that is a list of different names, divided by commas.
+struct NameList {
     std::vector<std::string>* target;
 };
-using Property = std::variant<Number, Choice, List>;
+
+using Property = std::variant<Number, Choice<ScaleOrder>, Choice<PlaceOrder>, NameList>;
 using Properties = std::map<std::string, Property>;
 
 constexpr double kHour = 3600;
 constexpr double kDay = 86400;
 
-void add_scaling(OperatorSettings& q, Properties& table) {
-    table["scale.mark.low"] = Number{&q.mark_low, 0, 1};
-    table["scale.mark.high"] = Number{&q.mark_high, 0, 1};
-    table["scale.out.interval_s"] = Number{&q.out_interval_s, 0.1, kHour};
-    table["scale.in.interval_s"] = Number{&q.in_interval_s, 0.1, kHour};
-    table["scale.cap_per_kind"] = Number{&q.max_per_machine_type, 0, 10000};
-    table["scale.permanent.first"] = Number{&q.permanent_first, 0, 50};
-    table["scale.order"] = Choice{&q.order, {"cost", "cores"}};
-    table["scale.unplaceable"] = Number{&q.scale_out_unplaceable, 0, 1};
-    table["scale.unplaceable.after_s"] = Number{&q.unplaceable_after_s, 0, kHour};
-    table["scale.spot"] = Number{&q.prefer_spot, 0, 1};
-    table["scale.idle_cost"] = Number{&q.max_idle_cost, 0, 1e6};
-    table["scale.no_capacity_backoff_s"] = Number{&q.no_capacity_backoff_s, 0.5, kHour};
+void add_scaling(OperatorSettings& settings, Properties& table) {
+    table.insert({
+        {"scale.mark.low", Number{&settings.mark_low, 0, 1}},
+        {"scale.mark.high", Number{&settings.mark_high, 0, 1}},
+        {"scale.out.interval_s", Number{&settings.out_interval_s, 0.1, kHour}},
+        {"scale.in.interval_s", Number{&settings.in_interval_s, 0.1, kHour}},
+        {"scale.cap_per_kind", Number{&settings.max_per_machine_type, 0, 10000}},
+        {"scale.permanent.first", Number{&settings.permanent_first, 0, 50}},
+        {"scale.order",
+         Choice<ScaleOrder>{&settings.order,
+                            {{"cost", ScaleOrder::cost}, {"cores", ScaleOrder::cores}}}},
+        {"scale.unplaceable", Number{&settings.scale_out_unplaceable, 0, 1}},
+        {"scale.unplaceable.after_s", Number{&settings.unplaceable_after_s, 0, kHour}},
+        {"scale.spot", Number{&settings.prefer_spot, 0, 1}},
+        {"scale.idle_cost", Number{&settings.max_idle_cost, 0, 1e6}},
+        {"scale.no_capacity_backoff_s", Number{&settings.no_capacity_backoff_s, 0.5, kHour}},
+    });
 }
 
-void add_machines(OperatorSettings& q, Properties& table) {
-    table["machines.boot.give_up"] = Number{&q.boot_timeout_factor, 1, 100};
-    table["machines.boot.late"] = Number{&q.boot_late_factor, 1, 100};
-    table["machines.lost_return_s"] = Number{&q.silent_release_s, 0, kHour};
-    table["machines.unseen_return_s"] = Number{&q.unreported_release_s, 1, kHour};
-    table["machines.deaf_return_s"] = Number{&q.unacknowledged_release_s, 1, kHour};
-    table["workers.settle_s"] = Number{&q.response_hold_s, 0, 2};
-    table["workers.idle_hold_s"] = Number{&q.idle_response_hold_s, 0, 3};
-    table["leader.lease_s"] = Number{&q.lease_ttl_s, 0.5, 600};
-    table["leader.probe_after_s"] = Number{&q.takeover_probe_s, 0.5, 600};
+void add_machines(OperatorSettings& settings, Properties& table) {
+    table.insert({
+        {"machines.boot.give_up", Number{&settings.boot_timeout_factor, 1, 100}},
+        {"machines.boot.late", Number{&settings.boot_late_factor, 1, 100}},
+        {"machines.lost_return_s", Number{&settings.silent_release_s, 0, kHour}},
+        {"machines.unseen_return_s", Number{&settings.unreported_release_s, 1, kHour}},
+        {"machines.deaf_return_s", Number{&settings.unacknowledged_release_s, 1, kHour}},
+        {"workers.settle_s", Number{&settings.response_hold_s, 0, 2}},
+        {"workers.idle_hold_s", Number{&settings.idle_response_hold_s, 0, 3}},
+        {"leader.lease_s", Number{&settings.lease_ttl_s, 0.5, 600}},
+        {"leader.probe_after_s", Number{&settings.takeover_probe_s, 0.5, 600}},
+    });
 }
 
-void add_placing(OperatorSettings& q, Properties& table) {
-    table["place.round_budget_ms"] = Number{&q.round_budget_ms, 0.1, 1000};
-    table["place.regret_s"] = Number{&q.opportunity_cost_s, 0, kHour};
-    table["place.order"] = Choice{&q.place_order, {"aim", "age"}};
-    table["place.keep_slots"] = Number{&q.keep_slots, 0, 1000};
-    table["place.preempt"] = Number{&q.preempt, 0, 1};
-    table["place.preempt.after_s"] = Number{&q.preempt_after_s, 0, kHour};
-    table["place.rise_s"] = Number{&q.priority_aging_s, 0, kDay};
-    table["place.gather"] = Number{&q.max_reserving_gangs, 0, 1000};
-    table["place.gather.after_s"] = Number{&q.reserve_after_s, 0, kHour};
+void add_placement(OperatorSettings& settings, Properties& table) {
+    table.insert({
+        {"place.round_budget_ms", Number{&settings.round_budget_ms, 0.1, 1000}},
+        {"place.regret_s", Number{&settings.opportunity_cost_s, 0, kHour}},
+        {"place.order",
+         Choice<PlaceOrder>{&settings.place_order,
+                            {{"aim", PlaceOrder::start_deadline}, {"age", PlaceOrder::age}}}},
+        {"place.keep_slots", Number{&settings.keep_slots, 0, 1000}},
+        {"place.preempt", Number{&settings.preempt, 0, 1}},
+        {"place.preempt.after_s", Number{&settings.preempt_after_s, 0, kHour}},
+        {"place.rise_s", Number{&settings.priority_aging_s, 0, kDay}},
+        {"place.gather", Number{&settings.max_reserving_gangs, 0, 1000}},
+        {"place.gather.after_s", Number{&settings.reserve_after_s, 0, kHour}},
+    });
 }
 
-void add_zone_failover(ZoneFailoverSettings& z, Properties& table) {
-    table["zone_failover.enabled"] = Number{&z.enabled, 0, 1};
-    table["zone_failover.order"] = List{&z.order};
-    table["zone_failover.suspect_share"] = Number{&z.suspect_share, 0.01, 1};
-    table["zone_failover.recover_share"] = Number{&z.recover_share, 0, 1};
-    table["zone_failover.lost_share"] = Number{&z.lost_share, 0.01, 1};
-    table["zone_failover.least_machines"] = Number{&z.least_machines, 1, 10000};
-    table["zone_failover.confirm_s"] = Number{&z.confirm_s, 0.5, kHour};
-    table["zone_failover.return_s"] = Number{&z.return_s, 0, kHour};
-    table["zone_failover.probe_s"] = Number{&z.probe_s, 1, kHour};
-    table["zone_failover.flap.half_life_s"] = Number{&z.flap_half_life_s, 1, kDay};
-    table["zone_failover.flap.suppress"] = Number{&z.flap_suppress, 0.1, 100};
-    table["zone_failover.flap.reuse"] = Number{&z.flap_reuse, 0.01, 100};
-    table["zone_failover.flap.most"] = Number{&z.flap_most, 1, 100};
-    table["zone_failover.ramp.span_s"] = Number{&z.ramp_s, 1, kHour};
-    table["zone_failover.ramp.first_share"] = Number{&z.ramp_first_share, 0.001, 1};
-    table["zone_failover.ramp.fetches_per_machine"] = Number{&z.fetches_per_machine, 1, 1000};
-    table["zone_failover.ramp.fetches_per_zone"] = Number{&z.fetches_per_zone, 1, 100000};
-    table["zone_failover.ramp.replicas"] = Number{&z.replicas, 1, 100000};
-    table["zone_failover.ramp.probe_machines"] = Number{&z.probe_machines, 1, 1000};
-    table["zone_failover.hold_s"] = Number{&z.hold_s, 0, kHour};
-    table["zone_failover.wait_most_s"] = Number{&z.wait_most_s, 0, kHour};
+void add_zone_failover(ZoneFailoverSettings& settings, Properties& table) {
+    table.insert({
+        {"zone_failover.enabled", Number{&settings.enabled, 0, 1}},
+        {"zone_failover.order", NameList{&settings.order}},
+        {"zone_failover.suspect_share", Number{&settings.suspect_share, 0.01, 1}},
+        {"zone_failover.recover_share", Number{&settings.recover_share, 0, 1}},
+        {"zone_failover.lost_share", Number{&settings.lost_share, 0.01, 1}},
+        {"zone_failover.least_machines", Number{&settings.least_machines, 1, 10000}},
+        {"zone_failover.confirm_s", Number{&settings.confirm_s, 0.5, kHour}},
+        {"zone_failover.return_s", Number{&settings.return_s, 0, kHour}},
+        {"zone_failover.probe_s", Number{&settings.probe_s, 1, kHour}},
+        {"zone_failover.flap.half_life_s", Number{&settings.flap_half_life_s, 1, kDay}},
+        {"zone_failover.flap.suppress", Number{&settings.flap_suppress, 0.1, 100}},
+        {"zone_failover.flap.reuse", Number{&settings.flap_reuse, 0.01, 100}},
+        {"zone_failover.flap.most", Number{&settings.flap_most, 1, 100}},
+        {"zone_failover.ramp.span_s", Number{&settings.ramp_s, 1, kHour}},
+        {"zone_failover.ramp.first_share", Number{&settings.ramp_first_share, 0.001, 1}},
+        {"zone_failover.ramp.fetches_per_machine", Number{&settings.fetches_per_machine, 1, 1000}},
+        {"zone_failover.ramp.fetches_per_zone", Number{&settings.fetches_per_zone, 1, 100000}},
+        {"zone_failover.ramp.replicas", Number{&settings.replicas, 1, 100000}},
+        {"zone_failover.ramp.probe_machines", Number{&settings.probe_machines, 1, 1000}},
+        {"zone_failover.hold_s", Number{&settings.hold_s, 0, kHour}},
+        {"zone_failover.wait_most_s", Number{&settings.wait_most_s, 0, kHour}},
+    });
 }
 
-Properties properties_of(OperatorSettings& q) {
+// All properties by name, each with the field of `settings` that it sets.
+Properties properties_of(OperatorSettings& settings) {
     Properties table;
-    add_scaling(q, table);
-    add_machines(q, table);
-    add_placing(q, table);
-    add_zone_failover(q.zone_failover, table);
+    add_scaling(settings, table);
+    add_machines(settings, table);
+    add_placement(settings, table);
+    add_zone_failover(settings.zone_failover, table);
     return table;
 }
 
@@ -131,16 +155,21 @@
         number.target);
 }
 
-void assign(const Choice& choice, const Source& source, const PropertyFileConfiguration& file) {
-    std::string value = file.getString(source.name);
-    if (std::find(choice.values.begin(), choice.values.end(), value) == choice.values.end()) {
-        throw SettingsError(source.where() + ": must be " + choice.values.front() + " or " +
-                            choice.values.back());
+template <typename Value>
+void assign(const Choice<Value>& choice, const Source& source,
+            const PropertyFileConfiguration& file) {
+    std::string word = file.getString(source.name);
+    for (const auto& spelling : choice.spellings) {
+        if (word == spelling.word) {
+            *choice.target = spelling.value;
+            return;
+        }
     }
-    *choice.target = value;
+    throw SettingsError(source.where() + ": must be " + choice.spellings.front().word + " or " +
+                        choice.spellings.back().word);
 }
 
-void assign(const List& list, const Source& source, const PropertyFileConfiguration& file) {
+void assign(const NameList& list, const Source& source, const PropertyFileConfiguration& file) {
     std::string text = file.getString(source.name);
     Poco::StringTokenizer items(text, ",", Poco::StringTokenizer::TOK_TRIM);
     std::vector<std::string> names(items.begin(), items.end());
@@ -148,17 +177,18 @@
     if (none) {
         names.clear();
     }
-    for (auto it = names.begin(); it != names.end(); ++it) {
-        if (it->empty()) {
+    for (auto name = names.begin(); name != names.end(); ++name) {
+        if (name->empty()) {
             throw SettingsError(source.where() + ": a name is empty");
         }
-        if (std::find(names.begin(), it, *it) != it) {
-            throw SettingsError(source.where() + ": '" + *it + "' is named twice");
+        if (std::find(names.begin(), name, *name) != name) {
+            throw SettingsError(source.where() + ": '" + *name + "' is named twice");
         }
     }
     *list.target = std::move(names);
 }
 
+// Appends the full names of all properties in the file that begin with `base`.
 void collect(const PropertyFileConfiguration& file, const std::string& base,
              std::vector<std::string>& names) {
     PropertyFileConfiguration::Keys keys;
@@ -178,14 +208,16 @@
     }
     try {
         return new PropertyFileConfiguration(path);
-    } catch (const Poco::Exception& e) {
-        throw SettingsError("properties " + path + ": " + e.displayText());
+    } catch (const Poco::Exception& error) {
+        throw SettingsError("properties " + path + ": " + error.displayText());
     }
 }
 
-// Two values that must not contradict each other.
+using FileOfProperty = std::map<std::string, std::string>;  // property -> the file that set it
+
+// Two values of which the first must be below the second.
 void require_below(double low, double high, const std::string& low_name,
-                   const std::string& high_name, const std::map<std::string, std::string>& set_by) {
+                   const std::string& high_name, const FileOfProperty& set_by) {
     if (low < high) {
         return;
     }
@@ -194,47 +226,54 @@
     throw SettingsError(where + ": " + low_name + ": must be below " + high_name);
 }
 
-void check_together(const OperatorSettings& q, const std::map<std::string, std::string>& set_by) {
-    require_below(q.mark_low, q.mark_high, "scale.mark.low", "scale.mark.high", set_by);
-    require_below(q.mark_high, 1, "scale.mark.high", "1", set_by);
-    const ZoneFailoverSettings& z = q.zone_failover;
-    require_below(z.recover_share, z.suspect_share, "zone_failover.recover_share",
+// Properties that are allowed by themselves may still contradict each other.
+void check_consistency(const OperatorSettings& settings, const FileOfProperty& set_by) {
+    require_below(settings.mark_low, settings.mark_high, "scale.mark.low", "scale.mark.high",
+                  set_by);
+    require_below(settings.mark_high, 1, "scale.mark.high", "1", set_by);
+    const ZoneFailoverSettings& failover = settings.zone_failover;
+    require_below(failover.recover_share, failover.suspect_share, "zone_failover.recover_share",
                   "zone_failover.suspect_share", set_by);
-    if (z.suspect_share > z.lost_share) {
-        require_below(z.suspect_share, z.lost_share, "zone_failover.suspect_share",
+    if (failover.suspect_share > failover.lost_share) {
+        require_below(failover.suspect_share, failover.lost_share, "zone_failover.suspect_share",
                       "zone_failover.lost_share", set_by);
     }
-    require_below(z.flap_reuse, z.flap_suppress, "zone_failover.flap.reuse",
+    require_below(failover.flap_reuse, failover.flap_suppress, "zone_failover.flap.reuse",
                   "zone_failover.flap.suppress", set_by);
 }
 
+// Reads one file into the fields that `table` points to.
+void apply_file(const std::string& path, const Properties& table, FileOfProperty& set_by,
+                std::vector<std::string>& notes) {
+    auto file = open_file(path);
+    std::vector<std::string> names;
+    collect(*file, "", names);
+    for (const std::string& name : names) {
+        Source source{path, name};
+        auto found = table.find(name);
+        if (found == table.end()) {
+            throw SettingsError(source.where() + ": no such property");
+        }
+        std::visit([&](const auto& property) { assign(property, source, *file); }, found->second);
+        auto [earlier, inserted] = set_by.try_emplace(name, path);
+        if (!inserted && earlier->second != path) {
+            notes.push_back(name + ": " + path + " counts, not " + earlier->second);
+            earlier->second = path;
+        }
+    }
+}
+
 }  // namespace
 
 OperatorSettings load_operator_settings(const std::vector<std::string>& paths,
                                         std::vector<std::string>& notes) {
     OperatorSettings operator_settings;
     Properties table = properties_of(operator_settings);
-    std::map<std::string, std::string> set_by;  // property -> the file that set it
+    FileOfProperty set_by;
     for (const std::string& path : paths) {
-        auto file = open_file(path);
-        std::vector<std::string> names;
-        collect(*file, "", names);
-        for (const std::string& name : names) {
-            Source source{path, name};
-            auto property = table.find(name);
-            if (property == table.end()) {
-                throw SettingsError(source.where() + ": no such property");
-            }
-            std::visit([&](const auto& machine_type) { assign(machine_type, source, *file); },
-                       property->second);
-            auto [earlier, fresh] = set_by.try_emplace(name, path);
-            if (!fresh && earlier->second != path) {
-                notes.push_back(name + ": " + path + " counts, not " + earlier->second);
-                earlier->second = path;
-            }
-        }
+        apply_file(path, table, set_by, notes);
     }
-    check_together(operator_settings, set_by);
+    check_consistency(operator_settings, set_by);
     return operator_settings;
 }
 
--- a/src/protocol/settings_file.cpp
+++ b/src/protocol/settings_file.cpp
@@ -1,8 +1,11 @@
 #include "protocol/settings_file.hpp"
 
+#include <algorithm>
+#include <array>
 #include <cmath>
 #include <fstream>
 #include <sstream>
+#include <string_view>
 
 #include "bookkeeping/records.hpp"
 
@@ -10,202 +13,277 @@
 
 namespace {
 
-class Reader {
+constexpr double kMaxShare = 1e9;  // cores or GPUs of a team
+constexpr double kMaxRate = 1e9;   // requests a second
+constexpr double kMaxPeriodS = 86400;
+
+// One object of the settings, with its path for error messages. Every getter throws SettingsError
+// that names the field, where the field is missing or has a value that isn't allowed.
+class SettingsReader {
   public:
-    Reader(const Json& value, std::string path) : value_(value), path_(std::move(path)) {
+    SettingsReader(const Json& value, std::string path) : value_(value), path_(std::move(path)) {
         if (!value_.is_object()) {
             throw SettingsError(path_ + ": must be an object");
         }
     }
-    Reader child(const char* name) const { return {at(name), where(name)}; }
+    SettingsReader child(const char* name) const { return {at(name), where(name)}; }
+
     std::string text(const char* name) const {
-        const Json& v = at(name);
-        if (!v.is_string() || v.get_ref<const std::string&>().empty()) {
+        const Json& value = at(name);
+        if (!value.is_string() || value.get_ref<const std::string&>().empty()) {
             throw SettingsError(where(name) + ": must be a text that isn't empty");
         }
-        return v.get<std::string>();
+        return value.get<std::string>();
     }
+
+    std::string text_or_empty(const char* name) const { return has(name) ? text(name) : ""; }
+
+    // "host:port".
     std::string address(const char* name) const {
-        std::string a = text(name);
-        auto colon = a.rfind(':');
-        bool digits = colon != std::string::npos && colon > 0 && colon + 1 < a.size() &&
-                      a.size() - colon <= 6 &&
-                      a.find_first_not_of("0123456789", colon + 1) == std::string::npos;
-        if (!digits || std::stoi(a.substr(colon + 1)) > 65535) {
+        constexpr std::size_t kMaxPortDigits = 5;
+        constexpr int kMaxPort = 65535;
+        std::string address = text(name);
+        auto colon = address.rfind(':');
+        bool has_port = colon != std::string::npos && colon > 0 && colon + 1 < address.size() &&
+                        address.size() - colon <= kMaxPortDigits + 1 &&
+                        address.find_first_not_of("0123456789", colon + 1) == std::string::npos;
+        if (!has_port || std::stoi(address.substr(colon + 1)) > kMaxPort) {
             throw SettingsError(where(name) + ": must be address:port");
         }
-        return a;
+        return address;
     }
+
     double number(const char* name, double least, double most) const {
-        const Json& v = at(name);
-        if (!v.is_number()) {
+        const Json& value = at(name);
+        if (!value.is_number()) {
             throw SettingsError(where(name) + ": must be a number");
         }
-        double d = v.get<double>();
-        if (!std::isfinite(d) || d < least || d > most) {
-            std::ostringstream s;
-            s << where(name) << ": must be from " << least << " to " << most;
-            throw SettingsError(s.str());
+        double number = value.get<double>();
+        if (!std::isfinite(number) || number < least || number > most) {
+            std::ostringstream message;
+            message << where(name) << ": must be from " << least << " to " << most;
+            throw SettingsError(message.str());
         }
-        return d;
+        return number;
     }
+
     double number_or(const char* name, double fallback, double least, double most) const {
-        return value_.contains(name) && !value_[name].is_null() ? number(name, least, most)
-                                                                : fallback;
+        return has(name) ? number(name, least, most) : fallback;
     }
+
     const Json& list(const char* name) const {
-        const Json& v = at(name);
-        if (!v.is_array()) {
+        const Json& value = at(name);
+        if (!value.is_array()) {
             throw SettingsError(where(name) + ": must be a list");
         }
-        return v;
+        return value;
     }
+
+    // Calls `read` with a reader for each object of the list.
+    template <typename Read>
+    void for_each(const char* name, Read read) const {
+        const Json& items = list(name);
+        for (std::size_t i = 0; i < items.size(); ++i) {
+            read(SettingsReader(items[i], item_path(name, i)));
+        }
+    }
+
+    bool has(const char* name) const { return value_.contains(name) && !value_[name].is_null(); }
+
+    // The full path of a field, and of an item of a list.
     std::string where(const std::string& name) const {
         return path_.empty() ? name : path_ + "." + name;
     }
-    bool has(const char* name) const { return value_.contains(name) && !value_[name].is_null(); }
+    std::string item_path(const char* name, std::size_t index) const {
+        return where(name) + "[" + std::to_string(index) + "]";
+    }
 
   private:
     const Json& at(const char* name) const {
-        auto it = value_.find(name);
-        if (it == value_.end() || it->is_null()) {
+        auto found = value_.find(name);
+        if (found == value_.end() || found->is_null()) {
             throw SettingsError(where(name) + ": missing");
         }
-        return *it;
+        return *found;
     }
+
     const Json& value_;
     std::string path_;
 };
 
-// Fields that are absent are taken from `otherwise`, or missed where there is nothing to take.
-StoreLimits read_state_limits(const Reader& state, const StoreLimits* otherwise) {
+// Fields that are absent are taken from `fallback`, which is null where every field is required.
+StoreLimits read_store_limits(const SettingsReader& state, const StoreLimits* fallback) {
     auto limit = [&](const char* name, double StoreLimits::*field, double least, double most) {
-        return otherwise ? state.number_or(name, otherwise->*field, least, most)
-                         : state.number(name, least, most);
+        return fallback ? state.number_or(name, fallback->*field, least, most)
+                        : state.number(name, least, most);
     };
     StoreLimits limits;
-    limits.requests_per_s = limit("rps", &StoreLimits::requests_per_s, 1, 1e9);
-    limits.writes_per_s = limit("write_rps", &StoreLimits::writes_per_s, 0.5, 1e9);
+    limits.requests_per_s = limit("rps", &StoreLimits::requests_per_s, 1, kMaxRate);
+    limits.writes_per_s = limit("write_rps", &StoreLimits::writes_per_s, 0.5, kMaxRate);
     limits.value_kb = limit("value_kb", &StoreLimits::value_kb, 0.5, 1e6);
-    constexpr double kLeastOps = 3;  // the largest of the writes that can't be split
-    constexpr double kMostOps = 1e6;
-    double ops = otherwise ? state.number_or("txn_ops", otherwise->transaction_operations,
-                                             kLeastOps, kMostOps)
-                           : state.number("txn_ops", kLeastOps, kMostOps);
-    limits.transaction_operations = static_cast<std::uint32_t>(ops);
+    constexpr double kMinOperations = 3;  // the largest of the writes that can't be split
+    constexpr double kMaxOperations = 1e6;
+    double operations = fallback ? state.number_or("txn_ops", fallback->transaction_operations,
+                                                   kMinOperations, kMaxOperations)
+                                 : state.number("txn_ops", kMinOperations, kMaxOperations);
+    limits.transaction_operations = static_cast<std::uint32_t>(operations);
     return limits;
 }
 
-}  // namespace
-
-PlatformSettings read_platform_settings(const std::string& json_text,
-                                        std::vector<std::string>& notes) {
-    Json doc = Json::parse(json_text, nullptr, false);
-    if (doc.is_discarded()) {
-        throw SettingsError("settings: not JSON");
-    }
-    Reader top(doc, "");
-    PlatformSettings p;
-    p.controller_name = top.text("node_name");
+// Name, zone and addresses of this controller, and its peers.
+void read_controllers(const SettingsReader& top, PlatformSettings& settings) {
+    settings.controller_name = top.text("node_name");
     if (top.has("location")) {
-        p.zone = top.text("location");
-    }
-    p.serve_on = top.address("serve_on");
-    p.cluster_listen = top.address("cluster_listen");
-    const Json& seeds = top.list("seeds");
-    for (std::size_t i = 0; i < seeds.size(); ++i) {
-        Reader seed(seeds[i], "seeds[" + std::to_string(i) + "]");
-        p.peers.push_back({seed.text("node_name"), seed.address("endpoint"),
-                           seed.has("location") ? seed.text("location") : ""});
-    }
-    Reader external = top.child("external");
-    p.cloud = external.address("cloud");
-    p.state = external.address("state");
-    Reader params = top.child("params");
+        settings.zone = top.text("location");
+    }
+    settings.serve_on = top.address("serve_on");
+    settings.cluster_listen = top.address("cluster_listen");
+    top.for_each("seeds", [&settings](const SettingsReader& seed) {
+        settings.peers.push_back(
+            {seed.text("node_name"), seed.address("endpoint"), seed.text_or_empty("location")});
+    });
+}
+
+void read_zones(const SettingsReader& params, PlatformSettings& settings) {
     const Json& zones = params.list("zones");
     if (zones.empty()) {
-        throw SettingsError("params.zones: must name a zone");
+        throw SettingsError(params.where("zones") + ": must name a zone");
     }
     for (std::size_t i = 0; i < zones.size(); ++i) {
         if (!zones[i].is_string()) {
-            throw SettingsError("params.zones[" + std::to_string(i) + "]: must be a text");
-        }
-        p.zones.push_back(zones[i].get<std::string>());
-    }
-    const Json& teams = params.list("teams");
-    for (std::size_t i = 0; i < teams.size(); ++i) {
-        Reader team(teams[i], "params.teams[" + std::to_string(i) + "]");
-        Team t;
-        t.name = team.text("name");
-        t.guaranteed_share = {team.number_or("cpus", 0, 0, 1e9), team.number_or("gpus", 0, 0, 1e9),
-                              0};
-        t.quota = {team.number_or("cpus_max", 0, 0, 1e9), team.number_or("gpus_max", 0, 0, 1e9), 0};
-        for (const Team& other : p.teams) {
-            if (other.name == t.name) {
-                throw SettingsError(team.where("name") + ": named twice");
-            }
+            throw SettingsError(params.item_path("zones", i) + ": must be a text");
         }
-        p.teams.push_back(std::move(t));
-    }
-    if (params.has("objectives")) {
-        const Json& objectives = params.list("objectives");
-        for (std::size_t i = 0; i < objectives.size(); ++i) {
-            Reader o(objectives[i], "params.objectives[" + std::to_string(i) + "]");
-            std::string machine_type = o.text("kind");
-            if (o.has("class")) {
-                p.classes.push_back(o.text("class"));
-            }
-            if (machine_type != "wait" && machine_type != "finished" &&
-                machine_type != "deadline" && machine_type != "guarantee") {
-                notes.push_back(o.where("kind") + ": '" + machine_type +
-                                "' is not known and ignored");
-            } else if (machine_type == "wait") {
-                p.start_latency_objectives.push_back(
-                    {o.text("class"), o.number("within_s", 0, 1e9)});
+        settings.zones.push_back(zones[i].get<std::string>());
+    }
+}
+
+Team read_team(const SettingsReader& reader) {
+    Team team;
+    team.name = reader.text("name");
+    team.guaranteed_share = {reader.number_or("cpus", 0, 0, kMaxShare),
+                             reader.number_or("gpus", 0, 0, kMaxShare), 0};
+    team.quota = {reader.number_or("cpus_max", 0, 0, kMaxShare),
+                  reader.number_or("gpus_max", 0, 0, kMaxShare), 0};
+    return team;
+}
+
+void read_teams(const SettingsReader& params, PlatformSettings& settings) {
+    params.for_each("teams", [&settings](const SettingsReader& reader) {
+        Team team = read_team(reader);
+        for (const Team& other : settings.teams) {
+            if (other.name == team.name) {
+                throw SettingsError(reader.where("name") + ": named twice");
             }
         }
+        settings.teams.push_back(std::move(team));
+    });
+}
+
+void read_objective(const SettingsReader& objective, PlatformSettings& settings,
+                    std::vector<std::string>& notes) {
+    constexpr const char* kStartLatency = "wait";
+    constexpr std::array<std::string_view, 3> kOthers{"finished", "deadline", "guarantee"};
+    constexpr double kMaxLatencyS = 1e9;
+    std::string kind = objective.text("kind");
+    if (objective.has("class")) {
+        settings.classes.push_back(objective.text("class"));
+    }
+    if (kind == kStartLatency) {
+        settings.start_latency_objectives.push_back(
+            {objective.text("class"), objective.number("within_s", 0, kMaxLatencyS)});
+    } else if (std::find(kOthers.begin(), kOthers.end(), kind) == kOthers.end()) {
+        notes.push_back(objective.where("kind") + ": '" + kind + "' is not known and ignored");
     }
-    Reader workers = params.child("workers");
-    p.report_s = workers.number("report_s", 0.05, 3600);
-    p.lease_s = workers.number("lease_s", 0.1, 86400);
-    p.gang_wait_s = workers.number("gang_wait_s", 0, 86400);
-    p.gang_peer_s = workers.number("gang_peer_s", 0, 86400);
-    p.cancel_s = workers.number("cancel_s", 0.1, 86400);
-    if (p.lease_s <= p.report_s) {
-        throw SettingsError("params.workers.lease_s: must be longer than report_s");
-    }
-    Reader state = params.child("state");
-    p.store_limits = read_state_limits(state, nullptr);
+}
+
+void read_objectives(const SettingsReader& params, PlatformSettings& settings,
+                     std::vector<std::string>& notes) {
+    if (!params.has("objectives")) {
+        return;
+    }
+    params.for_each("objectives", [&](const SettingsReader& objective) {
+        read_objective(objective, settings, notes);
+    });
+}
+
+void read_worker_periods(const SettingsReader& workers, PlatformSettings& settings) {
+    settings.report_s = workers.number("report_s", 0.05, 3600);
+    settings.lease_s = workers.number("lease_s", 0.1, kMaxPeriodS);
+    settings.gang_wait_s = workers.number("gang_wait_s", 0, kMaxPeriodS);
+    settings.gang_peer_s = workers.number("gang_peer_s", 0, kMaxPeriodS);
+    settings.cancel_s = workers.number("cancel_s", 0.1, kMaxPeriodS);
+    if (settings.lease_s <= settings.report_s) {
+        throw SettingsError(workers.where("lease_s") + ": must be longer than report_s");
+    }
+}
+
+void read_store(const SettingsReader& state, PlatformSettings& settings) {
+    settings.store_limits = read_store_limits(state, nullptr);
     if (state.has("next")) {
-        p.next_store_limits = read_state_limits(state.child("next"), &p.store_limits);
+        settings.next_store_limits = read_store_limits(state.child("next"), &settings.store_limits);
+    }
+}
+
+void read_cloud(const SettingsReader& cloud, PlatformSettings& settings) {
+    settings.cloud_rps = cloud.number("rps", 0.1, kMaxRate);
+    settings.list_lag_s = cloud.number("list_lag_s", 0, kMaxPeriodS);
+}
+
+// Limits of the machine that this controller runs on. A small machine is served all the same; but
+// whoever looks for the cause of slow service should find a line in the log.
+void read_machine_limits(const SettingsReader& limits, PlatformSettings& settings,
+                         std::vector<std::string>& notes) {
+    constexpr double kUnlimitedRamMb = 1e6;
+    constexpr double kMinRamMb = 16;
+    constexpr double kMinFds = 160;
+    constexpr double kMinFdsPerPeer = 8;
+    settings.fd_limit = static_cast<std::uint32_t>(limits.number_or("fd_limit", 512, 32, 1e7));
+    auto note_if_below = [&](const char* name, double value, double recommended) {
+        if (value >= recommended) {
+            return;
+        }
+        std::ostringstream note;
+        note << limits.where(name) << ": " << value << " is little, " << recommended
+             << " or more is needed to serve well";
+        notes.push_back(note.str());
+    };
+    note_if_below("fd_limit", settings.fd_limit,
+                  kMinFds + kMinFdsPerPeer * static_cast<double>(settings.peers.size()));
+    note_if_below("ram_mb", limits.number_or("ram_mb", kUnlimitedRamMb, 0, 1e9), kMinRamMb);
+}
+
+}  // namespace
+
+PlatformSettings read_platform_settings(const std::string& json_text,
+                                        std::vector<std::string>& notes) {
+    Json document = Json::parse(json_text, nullptr, false);
+    if (document.is_discarded()) {
+        throw SettingsError("settings: not JSON");
     }
-    Reader cloud = params.child("cloud");
-    p.cloud_rps = cloud.number("rps", 0.1, 1e9);
-    p.list_lag_s = cloud.number("list_lag_s", 0, 86400);
+    SettingsReader top(document, "");
+    PlatformSettings settings;
+    read_controllers(top, settings);
+    SettingsReader external = top.child("external");
+    settings.cloud = external.address("cloud");
+    settings.state = external.address("state");
+    SettingsReader params = top.child("params");
+    read_zones(params, settings);
+    read_teams(params, settings);
+    read_objectives(params, settings, notes);
+    read_worker_periods(params.child("workers"), settings);
+    read_store(params.child("state"), settings);
+    read_cloud(params.child("cloud"), settings);
     if (params.has("machine_limits")) {
-        Reader limits = params.child("machine_limits");
-        p.fd_limit = static_cast<std::uint32_t>(limits.number_or("fd_limit", 512, 32, 1e7));
-        // Served all the same; but whoever wonders later should find a line.
-        auto few = [&](const char* name, double has, double least) {
-            if (has >= least) {
-                return;
-            }
-            std::ostringstream note;
-            note << limits.where(name) << ": " << has << " is little, " << least
-                 << " or more is needed to serve well";
-            notes.push_back(note.str());
-        };
-        few("fd_limit", p.fd_limit, 160.0 + 8.0 * static_cast<double>(p.peers.size()));
-        few("ram_mb", limits.number_or("ram_mb", 1e6, 0, 1e9), 16);
-    }
-    return p;
+        read_machine_limits(params.child("machine_limits"), settings, notes);
+    }
+    return settings;
 }
 
 PlatformSettings load_platform_settings(const std::string& path, std::vector<std::string>& notes) {
-    std::ifstream in(path, std::ios::binary);
+    std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
-    text << in.rdbuf();
-    if (!in || in.bad()) {
+    text << file.rdbuf();
+    if (!file || file.bad()) {
         throw SettingsError("settings: can't read " + path);
     }
     return read_platform_settings(text.str(), notes);
--- a/src/protocol/settings_file.hpp
+++ b/src/protocol/settings_file.hpp
@@ -9,14 +9,17 @@
 
 namespace walkford::protocol {
 
-// One line that names the field.
+// Settings that can't be used. `what()` is one line that names the file or the field.
 struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// Notes are what was ignored, to be logged once logging works.
+// Reads the platform's settings from their JSON text. Appends to `notes` a line for each value that
+// is ignored or that is accepted but too small; they are to be logged once logging works. Throws
+// SettingsError.
 PlatformSettings read_platform_settings(const std::string& json_text,
                                         std::vector<std::string>& notes);
+// The same, from a file.
 PlatformSettings load_platform_settings(const std::string& path, std::vector<std::string>& notes);
 
 }  // namespace walkford::protocol
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -117,7 +117,7 @@
         return;
     }
     bufferevent_setcb(it->buffer.get(), on_read, nullptr, on_gone, &*it);
-    bufferevent_setwatermark(it->buffer.get(), EV_READ, 0, 2 * protocol::kMostFrame);
+    bufferevent_setwatermark(it->buffer.get(), EV_READ, 0, 2 * protocol::kMaxFrameBytes);
     bufferevent_enable(it->buffer.get(), EV_READ | EV_WRITE);
 }
 
@@ -130,7 +130,7 @@
         evbuffer_copyout(in, head, 4);
         std::size_t size = (std::size_t{head[0]} << 24) | (std::size_t{head[1]} << 16) |
                            (std::size_t{head[2]} << 8) | head[3];
-        if (size == 0 || size > protocol::kMostFrame) {
+        if (size == 0 || size > protocol::kMaxFrameBytes) {
             spdlog::warn("a peer sent a frame of {} bytes: connection closed", size);
             self->in_.erase(incoming->self);
             return;
