--- a/src/coordination/controller/leader.hpp
+++ b/src/coordination/controller/leader.hpp
@@ -1,9 +1,11 @@
-// What the leader alone does: cluster, placing, scaling, and the dialogues with workers and cloud.
-// It lives from election to deposition; nothing in it outlives its token.
+// What only the leader does: the cluster state, placement, scaling, and the dialogues with the
+// workers and the cloud.
 #pragma once
 
 #include "coordination/cloud/cloud_manager.hpp"
+#include "coordination/leader/job_completion.hpp"
 #include "coordination/leader/leader_context.hpp"
+#include "coordination/leader/placement_writer.hpp"
 #include "coordination/leader/task_lifecycle.hpp"
 #include "coordination/placement/placer.hpp"
 #include "coordination/scaling/scaler.hpp"
@@ -12,29 +14,35 @@
 
 namespace walkford {
 
+// Composes the subsystems of a leader and passes inputs to them. The controller creates it when it
+// is elected and destroys it when it is deposed: nothing in it outlives its fencing token.
 class Leader {
   public:
+    // Builds the cluster state from the controller's replica of the store. The callbacks of
+    // context() must be set before the first input is passed in.
     Leader(ControllerContext& controller, std::uint64_t fencing_token, Ms now);
+    // Answers the open heartbeats with 503 and drops the calls to the cloud that were not sent.
     ~Leader();
     Leader(const Leader&) = delete;
     Leader& operator=(const Leader&) = delete;
 
+    // Sets what the leader may do until the next call; see LeaderContext for the three values.
     void set_authority(bool holds_lease, Ms heartbeat_answer_deadline, Ms view_confirmed_until);
+
+    // Runs every subsystem whose work is due. Called after each batch of inputs.
     void tick(Ms now);
+
+    // The replica has a new version of the job's record, or has it no longer.
     void job_changed(Ms now, const std::string& id);
+
+    // A worker reports; the response is emitted now or at a later tick.
     void heartbeat(Ms now, const HeartbeatRequest& heartbeat);
+
+    // For the controller, which sets the callbacks and reads the cluster state.
     LeaderContext& context() { return context_; }
 
   private:
-    using PlacementRecordRef = std::pair<Id, std::uint32_t>;  // a job, and a placement record of it
-    bool write_due(Ms now, Id job, std::uint32_t index);
-    // The placement records to be written now, as many as may be open.
-    std::vector<PlacementRecordRef> records_due(Ms now);
-    void write_placement_records(Ms now);
-    void write_placement_record(Ms now, Id job, std::uint32_t index);
-    void finish_jobs(Ms now);
-    void end_job(Ms now, Id job, bool cancelled);
-    void delete_placement_records(const std::string& id, std::vector<std::uint32_t> left);
+    void load_cluster_state(Ms now);
 
     LeaderContext context_;
     TaskLifecycle lifecycle_;
@@ -43,8 +51,8 @@
     ZoneFailoverManager zone_failover_;
     Placer placer_;
     Scaler scaler_;
-    std::size_t writes_open_ = 0;
-    Ms finish_at_ = 0;
+    PlacementWriter placement_writer_;
+    JobCompletion job_completion_;
 };
 
 }  // namespace walkford
--- a/src/coordination/leader/leader_context.hpp
+++ b/src/coordination/leader/leader_context.hpp
@@ -1,4 +1,5 @@
-// What the modules of a leader share during its term.
+// What the subsystems of a leader share from its election to its deposition: the cluster state, the
+// leader's authority, and the callbacks into the controller that runs it.
 #pragma once
 
 #include <algorithm>
@@ -9,51 +10,76 @@
 
 namespace walkford {
 
-// What the parts of the leader share.
+// How long a write that failed waits before it is tried again.
+inline constexpr Ms kWriteRetryDelay = 250;
+
+// Owned by the Leader; every subsystem of the leader holds a reference. It lives for one leader
+// term and is destroyed when the leader is deposed.
 struct LeaderContext {
     ControllerContext& controller;
     ClusterState cluster;
     std::uint64_t fencing_token = 0;
     Ms elected_at = 0;
-    bool holds_lease = false;          // our lease is surely ours: start, rent and write
-    Ms view_confirmed_until = -1;      // the view holds everything that had happened by then
-    Ms heartbeat_answer_deadline = 0;  // until then heartbeats may be answered 200
-    bool place_now = true;
-    bool scale_out_now = false;  // the cloud ran out of one kind: the next is asked for at once
-    // What the last round of placing and the last trial packing looked at: their measure where no
-    // clock is to decide.
+    // The leader lease is certainly valid: tasks may be started, machines requested, records
+    // written.
+    bool holds_lease = false;
+    // The replica of the store is known to contain every change made until then.
+    Ms view_confirmed_until = -1;
+    // Until then heartbeats may be answered with 200, which renews the worker's lease.
+    Ms heartbeat_answer_deadline = 0;
+    bool place_now = true;  // run a placement round at the next tick
+    // The cloud had no capacity for one machine type: another is requested at the next tick.
+    bool scale_out_now = false;
+    // How many candidates the last placement round and the last trial packing examined. Tests limit
+    // it, as a bound on the work of one tick that depends on no clock.
     struct Work {
         std::size_t placing = 0;
         std::size_t packing = 0;
     };
     Work work;
+    // Ends this leader's term at the given time; the text says why and is logged. The leader is
+    // destroyed after the current input has been handled.
     std::function<void(Ms, const char*)> depose;
-    std::function<void(Ms)> refresh;  // asks for a proven view
-    // Was the peer with that index heard within the span?
+    // Requests a linearizable read, after which the replica holds what others have written.
+    std::function<void(Ms)> refresh;
+    // Whether the peer with that index has sent a heartbeat within the span before `now`.
     std::function<bool(Ms now, std::size_t peer, Ms span)> peer_heard;
-    // Calls that outlive the term find this gone.
+    // Expires with the leader: a reply handler that outlives it must do nothing.
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
-    // A conditional write was refused because another leads: the term ends.
-    bool deposed_by(Ms at, const StoreResponse& reply) const {
+    // To be called with a reply that reports a conflict. If the comparison of the leader key is
+    // among those that failed, another controller leads: deposes this leader and returns true.
+    bool deposed_by(Ms now, const StoreResponse& reply) const {
         bool other_leads = std::find(reply.failed.begin(), reply.failed.end(), keys::kLeader) !=
                            reply.failed.end();
         if (other_leads) {
-            depose(at, "a write found another leader");
+            depose(now, "a write found another leader");
         }
         return other_leads;
     }
 
-    // Another controller may renew the machine's lease.
+    // Another controller relays for the machine's zone, and may renew the machine's lease.
     bool relayed(const Machine& machine) const {
         return machine.zone != kNone &&
                controller.replica.relayed(controller.names.zones.name(machine.zone));
     }
 
-    LeaderContext(ControllerContext& c, std::uint64_t t, Ms now)
-        : controller(c),
-          cluster(c.names, c.platform_settings.teams),
-          fencing_token(t),
+    // Wraps a handler of replies so that it is not called once this leader is gone.
+    template <typename Handler>
+    auto while_leading(Handler handler) const {
+        return [leader = std::weak_ptr<bool>(alive), handler = std::move(handler)](
+                   Ms now, const auto& reply) {
+            if (!leader.expired()) {
+                handler(now, reply);
+            }
+        };
+    }
+
+    // Begins a term with an empty cluster state.
+    LeaderContext(ControllerContext& owner, std::uint64_t token, Ms now)
+        : controller(owner),
+          cluster(owner.names, owner.platform_settings.teams),
+          fencing_token(token),
           elected_at(now) {}
 };
 
--- /dev/null
+++ b/src/coordination/leader/placement_writer.cpp
@@ -0,0 +1,191 @@
+#include "coordination/leader/placement_writer.hpp"
+
+#include <spdlog/fmt/ranges.h>
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace walkford {
+
+namespace {
+constexpr std::size_t kMaxOpenWrites = 24;
+constexpr Ms kTooLargeRetryDelay = 5000;  // the same record is refused again: not soon
+}  // namespace
+
+void PlacementWriter::tick(Ms now, const WriteOrder& order) {
+    ClusterState& cluster = context_.cluster;
+    std::vector<RecordRef> records = due_records(now, order);
+    // A placement that was made and undone leaves nothing to write.
+    std::erase_if(records, [&](RecordRef record) {
+        if (!cluster.durable(record.job_id, record.index)) {
+            return false;
+        }
+        cluster.dirty.erase({record.job_id, record.index});
+        return true;
+    });
+    for (RecordRef record : records) {
+        write(record);
+    }
+}
+
+bool PlacementWriter::due(Ms now, RecordRef ref) const {
+    const Job& job = context_.cluster.jobs[ref.job_id];
+    if (!job.alive || job.ending) {
+        return false;
+    }
+    // The record that ends the job makes this one needless.
+    if (job.done == job.spec.tasks || (job.cancelled && job.assigned == 0)) {
+        return false;
+    }
+    const PlacementRecord& record = context_.cluster.placement_record(ref.job_id, ref.index);
+    return !record.in_flight && now >= record.retry_at;
+}
+
+template <typename Records>
+std::vector<PlacementWriter::RecordRef> PlacementWriter::due_among(const Records& records,
+                                                                   Ms now) const {
+    std::vector<RecordRef> found;
+    for (const auto& [job_id, index] : records) {
+        if (open_writes_ + found.size() >= kMaxOpenWrites) {
+            break;
+        }
+        if (due(now, {job_id, index})) {
+            found.push_back({job_id, index});
+        }
+    }
+    return found;
+}
+
+std::vector<PlacementWriter::RecordRef> PlacementWriter::due_records(
+    Ms now, const WriteOrder& order) const {
+    const auto& dirty = context_.cluster.dirty;
+    if (!order) {
+        return due_among(dirty, now);
+    }
+    std::vector<RecordRef> ordered;
+    ordered.reserve(dirty.size());
+    for (const auto& [job_id, index] : dirty) {
+        ordered.push_back({job_id, index});
+    }
+    std::stable_sort(ordered.begin(), ordered.end(), [&order](RecordRef left, RecordRef right) {
+        return order(left.job_id) < order(right.job_id);
+    });
+    return due_among(ordered, now);
+}
+
+bool PlacementWriter::starts_tasks(RecordRef record) const {
+    const std::vector<Task>& tasks =
+        context_.cluster.placement_record(record.job_id, record.index).tasks;
+    return std::any_of(tasks.begin(), tasks.end(), [](const Task& task) {
+        return task.machine != kNone && !task.durable_here();
+    });
+}
+
+void PlacementWriter::write(RecordRef ref) {
+    ClusterState& cluster = context_.cluster;
+    const Job& job = cluster.jobs[ref.job_id];
+    PlacementRecord& record = cluster.placement_record(ref.job_id, ref.index);
+    OpenWrite open_write{ref, job.spec.id, keys::placement_record(job.spec.id, ref.index),
+                         cluster.snapshot(ref.job_id, ref.index)};
+    // Before the write is marked as started: from then on no placement in it counts as durable.
+    RequestPriority priority =
+        starts_tasks(ref) ? RequestPriority::placement : RequestPriority::progress;
+    Transaction transaction;
+    transaction.comparisons = {{keys::kLeader, context_.fencing_token},
+                               {keys::job(job.spec.id), job.version},
+                               {open_write.key, record.version}};
+    transaction.writes = {{open_write.key, encode_placement_record(open_write.tasks), 0}};
+    record.in_flight = true;
+    cluster.mark_write_started(ref.job_id, ref.index, open_write.tasks);
+    ++open_writes_;
+    cluster.dirty.erase({ref.job_id, ref.index});
+    context_.controller.store.transaction(
+        priority, std::move(transaction),
+        context_.while_leading(
+            [this, open_write = std::move(open_write)](Ms now, const StoreResponse& response) {
+                on_written(now, open_write, response);
+            }));
+}
+
+bool PlacementWriter::job_exists(RecordRef record, const std::string& job_name) const {
+    return context_.cluster.find_job(job_name) == record.job_id;
+}
+
+void PlacementWriter::on_written(Ms now, const OpenWrite& write, const StoreResponse& response) {
+    --open_writes_;
+    if (!job_exists(write.record, write.job_name)) {
+        return;
+    }
+    ClusterState& cluster = context_.cluster;
+    auto [job_id, index] = write.record;
+    PlacementRecord& record = cluster.placement_record(job_id, index);
+    record.in_flight = false;
+    if (response.status == StoreStatus::ok) {
+        cluster.commit(job_id, index, write.tasks, response.revision);
+        if (cluster.snapshot(job_id, index) != write.tasks) {
+            cluster.dirty.insert({job_id, index});
+        }
+        return;
+    }
+    cluster.dirty.insert({job_id, index});
+    record.retry_at = now + kWriteRetryDelay;
+    if (response.status == StoreStatus::too_large) {
+        spdlog::error("the state service refuses the record {} as too large", write.key);
+        record.retry_at = now + kTooLargeRetryDelay;
+    }
+    if (response.status == StoreStatus::conflict) {
+        on_conflict(now, write, response);
+    }
+    // Any other failure: the same comparisons are sent again, so at most one copy takes effect.
+}
+
+void PlacementWriter::on_conflict(Ms now, const OpenWrite& write, const StoreResponse& response) {
+    spdlog::debug("write of {} found {} changed", write.key, fmt::join(response.failed, " "));
+    if (context_.deposed_by(now, response)) {
+        return;
+    }
+    for (const std::string& failed : response.failed) {
+        if (failed == keys::job(write.job_name)) {
+            context_.refresh(now);
+        }
+        if (failed == write.key) {
+            read_record(write);
+        }
+    }
+}
+
+// An earlier copy of one of our writes took effect: what the store holds counts.
+void PlacementWriter::read_record(const OpenWrite& write) {
+    RecordRef ref = write.record;
+    context_.cluster.placement_record(ref.job_id, ref.index).in_flight = true;
+    context_.controller.store.get(write.key,
+                                  context_.while_leading([this, ref, job_name = write.job_name](
+                                                             Ms, const StoreResponse& response) {
+                                      on_record_read(ref, job_name, response);
+                                  }),
+                                  context_.controller.out);
+}
+
+void PlacementWriter::on_record_read(RecordRef ref, const std::string& job_name,
+                                     const StoreResponse& response) {
+    if (!job_exists(ref, job_name)) {
+        return;
+    }
+    ClusterState& cluster = context_.cluster;
+    PlacementRecord& record = cluster.placement_record(ref.job_id, ref.index);
+    record.in_flight = false;
+    if (response.status == StoreStatus::not_found) {
+        record.version = 0;
+        return;
+    }
+    if (response.status != StoreStatus::ok || response.rows.size() != 1 ||
+        !response.rows[0].value) {
+        return;
+    }
+    std::vector<TaskRecord> stored(record.tasks.size());
+    if (decode_placement_record(*response.rows[0].value, stored)) {
+        cluster.commit(ref.job_id, ref.index, stored, response.rows[0].version);
+    }
+}
+
+}  // namespace walkford
--- a/src/coordination/leader/task_lifecycle.cpp
+++ b/src/coordination/leader/task_lifecycle.cpp
@@ -6,54 +6,77 @@
 
 namespace walkford {
 
+namespace {
+
+enum class StopResult : std::uint8_t {
+    unchanged,      // not on a machine, or already being stopped
+    stopping,       // the worker is to be commanded to stop it
+    never_started,  // its start was never sent: nothing runs
+};
+
+StopResult request_stop(Task& task, double grace, bool failure_not_counted) {
+    if (task.machine == kNone) {
+        return StopResult::unchanged;
+    }
+    if (task.stopping) {
+        task.stop_grace = std::min(task.stop_grace, static_cast<float>(grace));
+        return StopResult::unchanged;
+    }
+    task.stopping = true;
+    task.failure_not_counted = failure_not_counted;
+    task.stop_grace = static_cast<float>(grace);
+    task.stop_sent_at = -1;
+    bool start_sent = task.phase != TaskPhase::assigned || task.inherited;
+    return start_sent ? StopResult::stopping : StopResult::never_started;
+}
+
+// Whether the task shows that its gang has begun.
+bool shows_begun(const Task& task) {
+    if (task.phase == TaskPhase::done) {
+        return true;
+    }
+    return task.machine != kNone &&
+           (task.stopping || task.state == TaskState::running || task.state == TaskState::saving);
+}
+
+}  // namespace
+
 void TaskLifecycle::task_lost(TaskRef ref, Ms now, const char* why, bool began) {
     ClusterState& cluster = context_.cluster;
-    Job& j = cluster.jobs[ref.job];
-    Task& t = cluster.task(ref);
-    if (t.machine == kNone) {
+    Job& job = cluster.jobs[ref.job];
+    Task& task = cluster.task(ref);
+    if (task.machine == kNone) {
         return;
     }
-    spdlog::debug("{}/{} attempt {} off {}: {}", j.spec.id, ref.task, t.attempt,
-                  cluster.machines[t.machine].name, why);
+    spdlog::debug("{}/{} attempt {} off {}: {}", job.spec.id, ref.task, task.attempt,
+                  cluster.machines[task.machine].name, why);
     cluster.requeue(ref, now);
     context_.place_now = true;
-    if (!j.spec.starts_together() || j.assigned == 0) {
+    if (!job.spec.starts_together() || job.assigned == 0) {
         return;
     }
     // A gang that has not begun keeps waiting, and a replacement with the same attempt completes
-    // it; one that has begun goes nowhere: the rest is stopped, and all start anew together.
+    // it; one that has begun cannot go on: the rest is stopped, and all start again together.
     if (!began && unbegun(ref.job)) {
-        if (j.replace_by < 0) {
-            j.replace_by = now + kReplaceFor;
+        if (job.replace_by < 0) {
+            job.replace_by = now + kReplaceFor;
         }
     } else {
         stop_job(ref.job, 0, now, true);
     }
 }
 
-bool TaskLifecycle::unbegun(Id job) const {
-    const Job& j = context_.cluster.jobs[job];
-    for (const auto& record : j.placement_records) {
-        if (!record) {
-            continue;
-        }
-        for (const Task& t : record->tasks) {
-            if (t.phase == TaskPhase::done) {
-                return false;
-            }
-            if (t.machine == kNone) {
-                continue;
-            }
-            if (t.stopping || t.state == TaskState::running || t.state == TaskState::saving) {
-                return false;
-            }
+bool TaskLifecycle::unbegun(Id job_id) const {
+    for (const auto& record : context_.cluster.jobs[job_id].placement_records) {
+        if (record && std::any_of(record->tasks.begin(), record->tasks.end(), shows_begun)) {
+            return false;
         }
     }
     return true;
 }
 
-void TaskLifecycle::machine_emptied(Id machine, Ms now, const char* why) {
-    auto& tasks = context_.cluster.machines[machine].tasks;
+void TaskLifecycle::machine_emptied(Id machine_id, Ms now, const char* why) {
+    auto& tasks = context_.cluster.machines[machine_id].tasks;
     while (!tasks.empty()) {
         task_lost(*tasks.begin(), now, why);
     }
@@ -61,55 +84,32 @@
 
 void TaskLifecycle::stop(TaskRef ref, double grace, Ms now, bool failure_not_counted) {
     ClusterState& cluster = context_.cluster;
-    Job& j = cluster.jobs[ref.job];
-    if (j.spec.starts_together()) {
+    if (cluster.jobs[ref.job].spec.starts_together()) {
         stop_job(ref.job, grace, now, failure_not_counted);
         return;
     }
-    Task& t = cluster.task(ref);
-    if (t.machine == kNone) {
-        return;
-    }
-    if (t.stopping) {
-        t.stop_grace = std::min(t.stop_grace, static_cast<float>(grace));
-        return;
-    }
-    t.stopping = true;
-    t.failure_not_counted = failure_not_counted;
-    t.stop_grace = static_cast<float>(grace);
-    t.stop_sent_at = -1;
-    if (t.phase == TaskPhase::assigned && !t.inherited) {
+    if (request_stop(cluster.task(ref), grace, failure_not_counted) == StopResult::never_started) {
         task_lost(ref, now, "never started");
     }
 }
 
-void TaskLifecycle::stop_job(Id job, double grace, Ms now, bool failure_not_counted) {
+void TaskLifecycle::stop_job(Id job_id, double grace, Ms now, bool failure_not_counted) {
     ClusterState& cluster = context_.cluster;
-    Job& j = cluster.jobs[job];
-    std::vector<TaskRef> unsent;
-    for (std::uint32_t c = 0; c < j.placement_records.size(); ++c) {
-        if (!j.placement_records[c]) {
+    Job& job = cluster.jobs[job_id];
+    std::vector<TaskRef> never_started;
+    for (std::uint32_t index = 0; index < job.placement_records.size(); ++index) {
+        if (!job.placement_records[index]) {
             continue;
         }
-        for (std::uint32_t i = 0; i < j.placement_records[c]->tasks.size(); ++i) {
-            Task& t = j.placement_records[c]->tasks[i];
-            if (t.machine == kNone) {
-                continue;
-            }
-            if (t.stopping) {
-                t.stop_grace = std::min(t.stop_grace, static_cast<float>(grace));
-                continue;
-            }
-            t.stopping = true;
-            t.failure_not_counted = failure_not_counted;
-            t.stop_grace = static_cast<float>(grace);
-            t.stop_sent_at = -1;
-            if (t.phase == TaskPhase::assigned && !t.inherited) {
-                unsent.push_back({job, c * j.spec.tasks_per_record + i});
+        std::vector<Task>& tasks = job.placement_records[index]->tasks;
+        for (std::uint32_t offset = 0; offset < tasks.size(); ++offset) {
+            if (request_stop(tasks[offset], grace, failure_not_counted) ==
+                StopResult::never_started) {
+                never_started.push_back({job_id, index * job.spec.tasks_per_record + offset});
             }
         }
     }
-    for (TaskRef ref : unsent) {
+    for (TaskRef ref : never_started) {
         cluster.requeue(ref, now);
         context_.place_now = true;
     }
