--- a/src/coordination/cloud/cloud_manager.hpp
+++ b/src/coordination/cloud/cloud_manager.hpp
@@ -1,69 +1,71 @@
-// The leader's talk with the cloud, and the registry of machines held.
+// The leader's side of the cloud: scale-out, scale-in, and the registry of machines.
 #pragma once
 
+#include "coordination/cloud/capacity_backoff.hpp"
+#include "coordination/cloud/machine_health_watch.hpp"
+#include "coordination/cloud/machine_list_reconciler.hpp"
 #include "coordination/cloud/machine_registry.hpp"
+#include "coordination/cloud/machine_releaser.hpp"
+#include "coordination/cloud/machine_type_reader.hpp"
+#include "coordination/cloud/scale_out_requester.hpp"
+#include "coordination/cloud/unregistered_machines.hpp"
 #include "coordination/context/controller_context.hpp"
 #include "coordination/leader/task_lifecycle.hpp"
 
 namespace walkford {
 
+// What other subsystems use of the cloud. Owned by the leader for one term; composes the classes of
+// this folder, each of which has one concern.
 class CloudManager {
   public:
     CloudManager(LeaderContext& context, TaskLifecycle& lifecycle)
-        : context_(context), lifecycle_(lifecycle), registry_(context) {}
+        : context_(context),
+          registry_(context),
+          releaser_(context, lifecycle, registry_, backoff_, unregistered_),
+          scale_out_(context, registry_, releaser_, backoff_, unregistered_),
+          machine_list_(context, registry_, releaser_),
+          health_watch_(context, registry_, releaser_, unregistered_),
+          machine_types_(context) {}
 
+    // Continues from the stored registry, at the beginning of a leader's term. If it can't be read,
+    // nothing is requested or released in this term.
     void load(Ms now);
+    // Does what is due. Called in each step of the leader; nothing happens without a lease.
     void tick(Ms now);
 
-    // Asks for machines; false when this can't be asked for now.
+    // Requests machines of a group. False if that can't be requested now. `reason` goes to the log.
     bool request_machines(Ms now, Id machine_type, Id zone, bool spot, std::uint32_t count,
-                          bool permanent, const std::string& why);
-    void release_machine(Ms now, Id machine, const char* why);
+                          bool permanent, const std::string& reason);
+    // Stops using the machine and gives it back to the cloud. `reason` goes to the log.
+    void release_machine(Ms now, Id machine, const char* reason) {
+        releaser_.release(now, machine, reason);
+    }
 
+    // The registry is known, the group is not backed off, and no request for it is open.
     bool can_request(Id machine_type, Id zone, bool spot, Ms now) const;
-    // The cloud has refused a rental in the zone, and is not asked again yet.
-    bool refused_lately(Id zone, Ms now) const;
-    bool known() const { return loaded_; }
+    // The cloud has refused a scale-out request in the zone, and is not asked again yet.
+    bool refused_lately(Id zone, Ms now) const { return backoff_.blocks_zone(zone, now); }
+    // The registry is known: read, or created from the cloud's first list.
+    bool known() const { return registry_.known(); }
+    // Requests whose outcome is not known yet.
     const std::vector<ScaleOutRequest>& scale_out_requests() const {
         return registry_.scale_out_requests();
     }
+    // Permanent machines were requested, or existed at the start: later machines are temporary.
     bool first_scale_out_done() const;
 
   private:
-    void confirm_registration();
-    void ask(Ms now, const std::string& scale_out);
-    void release_due_machines(Ms now);
-    void list(Ms now, const std::string& after);
-    void take_list(Ms now);
-    void adopt(Ms now);
-    void removed(Ms now, Id machine, const char* why);
-    void watch_machines(Ms now);
-    void read_machine_types(Ms now);
+    void load_machine(Ms now, const RegisteredMachine& registered);
 
     LeaderContext& context_;
-    TaskLifecycle& lifecycle_;
     MachineRegistry registry_;
-    bool loaded_ = false;  // the registry is known (read, or made from the first list)
-    std::set<std::string> open_requests_;            // rentals with a request open
-    std::map<std::string, Ms> retry_at_by_request_;  // ... or to be repeated
-    void ran_out(Ms now, Id machine_type, Id zone, bool spot);
-    struct Refusal {
-        Ms until = 0;
-        int times = 0;
-    };
-    std::map<std::tuple<Id, Id, bool>, Refusal> refused_;
-    std::set<std::string> to_release_;    // marked durably, the cloud is to be asked
-    std::map<std::string, Ms> released_;  // answered: the late list may still show them
-    bool release_call_open_ = false;
-    Ms release_retry_at_ = 0;
-    bool listing_ = false;
-    Ms list_at_ = 0;
-    Ms list_began_ = 0;
-    std::vector<CloudMachine> listed_;
-    bool reading_machine_types_ = false;
-    Ms read_machine_types_at_ = 0;
-    Ms watch_at_ = 0;
-    std::map<std::string, Ms> unregistered_since_;  // not in the registry -> since when
+    CapacityBackoff backoff_;
+    UnregisteredMachines unregistered_;
+    MachineReleaser releaser_;
+    ScaleOutRequester scale_out_;
+    MachineListReconciler machine_list_;
+    MachineHealthWatch health_watch_;
+    MachineTypeReader machine_types_;
 };
 
 }  // namespace walkford
--- /dev/null
+++ b/src/coordination/cloud/machine_list_reconciler.cpp
@@ -0,0 +1,156 @@
+#include "coordination/cloud/machine_list_reconciler.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "coordination/cloud/leader_callback.hpp"
+
+namespace walkford {
+
+namespace {
+constexpr Ms kReadInterval = 2500;
+constexpr Ms kReadRetryDelay = 1000;
+// A list may be older than the one before it by up to twice the list's lag; and a margin.
+constexpr Ms kMissingLags = 2;
+constexpr Ms kMissingMargin = 1500;
+// A machine that was never listed by then does not exist.
+constexpr Ms kNeverListedLags = 4;
+constexpr Ms kNeverListedMargin = 10000;
+}  // namespace
+
+void MachineListReconciler::tick(Ms now) {
+    if (reading_ || now < next_read_at_) {
+        return;
+    }
+    reading_ = true;
+    read_began_at_ = now;
+    listed_.clear();
+    request_page("");
+}
+
+void MachineListReconciler::request_page(const std::string& after) {
+    CloudRequest request;
+    request.operation = CloudOperation::list;
+    request.after = after;
+    auto handler = [this](Ms now, const CloudResponse& response) { on_page(now, response); };
+    context_.controller.cloud.call(std::move(request), while_leading(context_, std::move(handler)));
+}
+
+void MachineListReconciler::on_page(Ms now, const CloudResponse& response) {
+    if (response.status != CloudCallStatus::ok) {
+        reading_ = false;
+        next_read_at_ = now + kReadRetryDelay;
+        return;
+    }
+    listed_.insert(listed_.end(), response.machines.begin(), response.machines.end());
+    if (response.more && !response.machines.empty()) {
+        request_page(response.machines.back().name);
+        return;
+    }
+    reading_ = false;
+    next_read_at_ = now + kReadInterval;
+    reconcile(now);
+}
+
+void MachineListReconciler::reconcile(Ms now) {
+    bool stored = !context_.controller.replica.registry_parts.empty();
+    if (!registry_.known() && stored) {
+        return;  // the stored registry can't be read: nothing is added or released
+    }
+    if (!registry_.known()) {
+        adopt_listed_machines(now);
+    }
+    std::set<std::string> listed_names = apply_listed_machines(now);
+    const auto& machines = context_.cluster.machines;
+    for (Id machine = 0; machine < machines.size(); ++machine) {
+        if (!machines[machine].terminated && !listed_names.contains(machines[machine].name)) {
+            handle_missing_machine(now, machine);
+        }
+    }
+    releaser_.forget_old_releases(now);
+}
+
+// The very first list: machines that are there at the start are ours, and permanent.
+void MachineListReconciler::adopt_listed_machines(Ms now) {
+    registry_.create();
+    ClusterState& cluster = context_.cluster;
+    for (const CloudMachine& listed : listed_) {
+        if (listed.status == CloudMachineState::failed) {
+            continue;
+        }
+        Id machine_id = cluster.add_machine(
+            listed.name, cluster.names.machine_types.intern(listed.machine_type),
+            cluster.names.zones.intern(listed.zone), listed.spot, now);
+        Machine& machine = cluster.machines[machine_id];
+        machine.registered = true;
+        machine.permanent = true;
+        registry_.add_machine(
+            {listed.name, machine.machine_type, machine.zone, machine.spot, true, false});
+    }
+    if (registry_.size() > 0) {
+        registry_.set_first_scale_out_done();
+    }
+    spdlog::info("{} machines at the start, permanent", registry_.size());
+    registry_.confirm_registration_after_write();
+    registry_.write(now);
+}
+
+// Returns the names of all listed machines.
+std::set<std::string> MachineListReconciler::apply_listed_machines(Ms now) {
+    std::set<std::string> names;
+    for (const CloudMachine& listed : listed_) {
+        names.insert(listed.name);
+        apply_listed_machine(now, listed);
+    }
+    return names;
+}
+
+void MachineListReconciler::apply_listed_machine(Ms now, const CloudMachine& listed) {
+    ClusterState& cluster = context_.cluster;
+    Id machine_id = cluster.find_machine(listed.name);
+    if (machine_id == kNone) {
+        if (releaser_.released(listed.name)) {
+            return;
+        }
+        machine_id = cluster.add_machine(listed.name,
+                                         cluster.names.machine_types.intern(listed.machine_type),
+                                         cluster.names.zones.intern(listed.zone), listed.spot, now);
+    }
+    Machine& machine = cluster.machines[machine_id];
+    if (machine.address.empty()) {
+        machine.address = listed.address;
+    }
+    if (machine.machine_type == kNone) {
+        machine.machine_type = cluster.names.machine_types.intern(listed.machine_type);
+    }
+    machine.listing.state = listed.status;
+    if (machine.listing.listed_since < 0) {
+        machine.listing.listed_since = now;
+        // The listed age shows a new leader when the machine was requested.
+        machine.requested_at = std::min(machine.requested_at, now - to_ms(listed.age_s));
+    }
+    machine.listing.last_listed = now;
+}
+
+void MachineListReconciler::handle_missing_machine(Ms now, Id machine_id) {
+    const Machine& machine = context_.cluster.machines[machine_id];
+    Ms lag = to_ms(context_.controller.platform_settings.list_lag_s);
+    bool was_listed = machine.listing.listed_since >= 0;
+    // Only a machine that was listed longer ago than a list can be outdated is missing because it
+    // is gone.
+    Ms outdated_by = kMissingLags * with_drift(lag) + kMissingMargin;
+    if (was_listed && read_began_at_ > machine.listing.listed_since + outdated_by) {
+        spdlog::info("machine {} left the cloud's list: gone with {} tasks", machine.name,
+                     machine.tasks.size());
+        releaser_.remove(now, machine_id, "not listed any more");
+        return;
+    }
+    bool expected_by_now = now > machine.known_since + kNeverListedLags * lag + kNeverListedMargin;
+    if (!was_listed && machine.registered && !machine.worker.reported && expected_by_now) {
+        releaser_.release(now, machine_id, "never listed");
+    }
+}
+
+}  // namespace walkford
--- a/src/coordination/cloud/machine_registry.cpp
+++ b/src/coordination/cloud/machine_registry.cpp
@@ -56,7 +56,8 @@
             mine.machines[name] = std::move(machine);
         }
     }
-    return !controller.replica.registry_parts.empty();
+    known_ = !controller.replica.registry_parts.empty();
+    return known_;
 }
 
 const ScaleOutRequest* MachineRegistry::scale_out_request(const std::string& name) const {
@@ -251,6 +252,19 @@
     waiting_.push_back({last_change_, std::move(then)});
 }
 
+// Nothing runs on a machine that the durable registry doesn't list yet: a new leader would take a
+// placement there for one on a machine that is long gone, and start the task again.
+void MachineRegistry::confirm_registration_after_write() {
+    after_write([this](Ms) {
+        for (const RegisteredMachine& registered : machines()) {
+            Id machine = context_.cluster.find_machine(registered.name);
+            if (machine != kNone) {
+                context_.cluster.machines[machine].registration_durable = true;
+            }
+        }
+    });
+}
+
 MachineRegistry::ChangeNumber MachineRegistry::durable() const {
     ChangeNumber oldest = last_change_ + 1;
     for (const auto& [index, part] : parts_) {
--- a/src/coordination/cloud/machine_registry.hpp
+++ b/src/coordination/cloud/machine_registry.hpp
@@ -21,7 +21,12 @@
     // Takes in what an earlier leader wrote; false if there is nothing, or it can't be read.
     bool load();
     // There is nothing yet: the first value is written, also where it names no machine.
-    void create() { mark_changed(0); }
+    void create() {
+        known_ = true;
+        mark_changed(0);
+    }
+    // Loaded, or created.
+    bool known() const { return known_; }
 
     const std::vector<ScaleOutRequest>& scale_out_requests() const { return scale_out_requests_; }
     const ScaleOutRequest* scale_out_request(const std::string& name) const;
@@ -41,6 +46,8 @@
 
     // Calls once all that has changed so far is durable.
     void after_write(std::function<void(Ms)> then);
+    // Marks the registered machines in the cluster state as durably registered, once that is so.
+    void confirm_registration_after_write();
     void write(Ms now);
 
   private:
@@ -77,6 +84,7 @@
     void tell_waiting(Ms now);
 
     LeaderContext& context_;
+    bool known_ = false;
     std::map<std::uint32_t, Part> parts_;                     // part 0 is always there
     std::unordered_map<std::string, std::uint32_t> part_of_;  // by machine
     std::vector<ScaleOutRequest> scale_out_requests_;
--- /dev/null
+++ b/src/coordination/cloud/machine_type_reader.cpp
@@ -0,0 +1,54 @@
+#include "coordination/cloud/machine_type_reader.hpp"
+
+#include <utility>
+
+#include "coordination/cloud/leader_callback.hpp"
+
+namespace walkford {
+
+namespace {
+constexpr Ms kReadInterval = 30000;
+constexpr Ms kReadRetryDelay = 1500;
+}  // namespace
+
+void MachineTypeReader::tick(Ms now) {
+    if (call_open_ || now < next_read_at_) {
+        return;
+    }
+    call_open_ = true;
+    CloudRequest request;
+    request.operation = CloudOperation::list_machine_types;
+    auto handler = [this](Ms at, const CloudResponse& response) { on_response(at, response); };
+    context_.controller.cloud.call(std::move(request), while_leading(context_, std::move(handler)));
+}
+
+void MachineTypeReader::on_response(Ms now, const CloudResponse& response) {
+    call_open_ = false;
+    if (response.status != CloudCallStatus::ok || response.machine_types.empty()) {
+        next_read_at_ = now + kReadRetryDelay;
+        return;
+    }
+    next_read_at_ = now + kReadInterval;
+    bool first_read = context_.controller.machine_types.empty();
+    context_.controller.machine_types = response.machine_types;
+    context_.cluster.set_machine_types(response.machine_types);
+    if (first_read) {
+        context_.place_now = true;
+    }
+    if (!context_.controller.replica.machine_types) {
+        store(response.machine_types);
+    }
+}
+
+// Stored, so that a controller that starts during an outage of the cloud can still validate
+// submissions. Once only, at nominal prices: prices change too often to be written.
+void MachineTypeReader::store(const std::vector<MachineType>& machine_types) {
+    Transaction transaction;
+    transaction.comparisons = {{keys::kLeader, context_.fencing_token}};
+    transaction.writes = {
+        {keys::kMachineTypes, encode_machine_types(machine_types, context_.controller.names), 0}};
+    context_.controller.store.transaction(RequestPriority::progress, std::move(transaction),
+                                          [](Ms, const StoreResponse&) {});
+}
+
+}  // namespace walkford
--- /dev/null
+++ b/src/coordination/cloud/scale_out_requester.hpp
@@ -0,0 +1,60 @@
+// Scale-out: requests machines from the cloud, exactly once each.
+#pragma once
+
+#include <map>
+#include <set>
+#include <string>
+
+#include "coordination/cloud/capacity_backoff.hpp"
+#include "coordination/cloud/machine_registry.hpp"
+#include "coordination/cloud/machine_releaser.hpp"
+#include "coordination/cloud/unregistered_machines.hpp"
+
+namespace walkford {
+
+// Sends scale-out requests and registers the machines that the cloud grants. A request is durable
+// in the registry before it is sent, and is repeated under the same name, by later leaders too,
+// until its outcome is known. Owned by CloudManager.
+class ScaleOutRequester {
+  public:
+    ScaleOutRequester(LeaderContext& context, MachineRegistry& registry,
+                      const MachineReleaser& releaser, CapacityBackoff& backoff,
+                      UnregisteredMachines& unregistered)
+        : context_(context),
+          registry_(registry),
+          releaser_(releaser),
+          backoff_(backoff),
+          unregistered_(unregistered) {}
+
+    // Repeats the requests that an earlier leader left without a known outcome.
+    void resume(Ms now);
+    // The registry is known, the group is not backed off, and no request for it is open.
+    bool can_request(const MachineGroupKey& group, Ms now) const;
+    // Requests up to 50 machines. False if the group can't be requested now, or the registry has no
+    // space left. `reason` goes to the log.
+    bool request(Ms now, const MachineGroupKey& group, std::uint32_t count, bool permanent,
+                 const std::string& reason);
+    // Sends again what is due for a retry.
+    void retry_due(Ms now);
+    // Some request waits for its retry: what it was granted may not be registered yet.
+    bool retries_pending() const { return !retry_at_by_request_.empty(); }
+
+  private:
+    void send(const std::string& request_name);
+    void on_response(Ms now, const std::string& request_name, const CloudResponse& response);
+    void on_granted(Ms now, const ScaleOutRequest& request, const CloudResponse& response);
+    void on_no_capacity(Ms now, const ScaleOutRequest& request);
+    void on_malformed(Ms now, const ScaleOutRequest& request);
+    void register_machine(Ms now, const ScaleOutRequest& request, const std::string& machine);
+    void back_off(Ms now, const MachineGroupKey& group);
+
+    LeaderContext& context_;
+    MachineRegistry& registry_;
+    const MachineReleaser& releaser_;
+    CapacityBackoff& backoff_;
+    UnregisteredMachines& unregistered_;
+    std::set<std::string> open_calls_;  // names of the requests that are sent and not answered
+    std::map<std::string, Ms> retry_at_by_request_;
+};
+
+}  // namespace walkford
