--- /dev/null
+++ b/src/coordination/cloud/machine_registry_write.cpp
@@ -0,0 +1,185 @@
+// How the machine registry becomes durable: writes, conflicts, and what waits for them.
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "coordination/cloud/leader_callback.hpp"
+#include "coordination/cloud/machine_registry.hpp"
+
+namespace walkford {
+
+namespace {
+constexpr Ms kRetryDelay = 250;
+// A write that is rejected as malformed or too large is not sent again at once.
+constexpr Ms kTooLargeRetryDelay = 5000;
+constexpr std::size_t kMaxTransactionBytes = 48000;  // of the 64 KiB that a transaction may have
+}  // namespace
+
+void MachineRegistry::after_write(std::function<void(Ms)> callback) {
+    durable_callbacks_.push_back({last_change_, std::move(callback)});
+}
+
+// Nothing runs on a machine that the durable registry doesn't list yet: a new leader would take a
+// placement there for one on a machine that is long gone, and start the task again.
+void MachineRegistry::confirm_registration_after_write() {
+    after_write([this](Ms) {
+        for (const RegisteredMachine& registered : machines()) {
+            Id machine = context_.cluster.find_machine(registered.name);
+            if (machine != kNone) {
+                context_.cluster.machines[machine].registration_durable = true;
+            }
+        }
+    });
+}
+
+void MachineRegistry::write(Ms now) {
+    if (call_open_ || now < next_write_at_) {
+        return;
+    }
+    if (division_due()) {
+        divide();
+    }
+    std::vector<std::uint32_t> due = changed_parts();
+    if (due.empty()) {
+        run_durable_callbacks(now);
+        return;
+    }
+    due.resize(std::min<std::size_t>(due.size(),
+                                     context_.controller.store.limits().transaction_operations()));
+    send_write(due);
+}
+
+// The first value comes last: it is the one that ceases to name machines and scale-out requests.
+std::vector<std::uint32_t> MachineRegistry::changed_parts() const {
+    std::vector<std::uint32_t> changed;
+    for (const auto& [index, part] : parts_) {
+        if (part.first_unsent_change != 0 && index != 0) {
+            changed.push_back(index);
+        }
+    }
+    if (parts_.at(0).first_unsent_change != 0) {
+        changed.push_back(0);
+    }
+    return changed;
+}
+
+// Sends as many of the parts, in their order, as fit one transaction; at least one.
+void MachineRegistry::send_write(const std::vector<std::uint32_t>& due) {
+    Transaction transaction;
+    transaction.comparisons = {{keys::kLeader, context_.fencing_token}};
+    std::vector<std::uint32_t> sent;
+    std::size_t bytes = 0;
+    for (std::uint32_t index : due) {
+        Part& part = parts_[index];
+        Json value = encode(index);
+        part.bytes = value.dump().size();
+        part.bytes_estimated = false;
+        bytes += part.bytes;
+        if (bytes > kMaxTransactionBytes && !sent.empty()) {
+            break;
+        }
+        bool empty = index != 0 && part.machines.empty();
+        std::string key = keys::registry_part(index);
+        transaction.comparisons.push_back({key, part.version});
+        transaction.writes.push_back(
+            {key, empty ? std::nullopt : std::optional<Json>(std::move(value)), 0});
+        part.first_unanswered_change = part.first_unsent_change;
+        part.first_unsent_change = 0;
+        part.deleting = empty;
+        sent.push_back(index);
+    }
+    call_open_ = true;
+    auto handler = [this, sent](Ms now, const StoreResponse& response) {
+        on_write_response(now, sent, response);
+    };
+    context_.controller.store.transaction(RequestPriority::placement, std::move(transaction),
+                                          while_leading(context_, std::move(handler)));
+}
+
+void MachineRegistry::on_write_response(Ms now, const std::vector<std::uint32_t>& sent,
+                                        const StoreResponse& response) {
+    call_open_ = false;
+    for (std::uint32_t index : sent) {
+        Part& part = parts_[index];
+        if (response.status == StoreStatus::ok) {
+            part.version = part.deleting ? 0 : response.revision;
+        } else {
+            part.first_unsent_change = part.first_unanswered_change;
+        }
+        part.first_unanswered_change = 0;
+    }
+    if (response.status == StoreStatus::ok) {
+        run_durable_callbacks(now);
+        return;
+    }
+    next_write_at_ = now + kRetryDelay;
+    if (response.status == StoreStatus::too_large) {
+        next_write_at_ = now + kTooLargeRetryDelay;
+        spdlog::error("the state service rejects the machine registry as too large");
+    }
+    if (response.status != StoreStatus::conflict || context_.deposed_by(now, response)) {
+        return;
+    }
+    // An earlier copy of our own write was executed; the next write replaces it.
+    refresh_versions(response.failed);
+}
+
+// Reads the versions of the keys from the state service, one after the other, the last one first.
+void MachineRegistry::refresh_versions(std::vector<std::string> stale_keys) {
+    if (stale_keys.empty()) {
+        return;
+    }
+    call_open_ = true;
+    std::string key = stale_keys.back();
+    stale_keys.pop_back();
+    auto handler = [this, key, remaining_keys = std::move(stale_keys)](
+                       Ms, const StoreResponse& response) {
+        on_version_response(key, remaining_keys, response);
+    };
+    context_.controller.store.get(key, while_leading(context_, std::move(handler)),
+                                  context_.controller.out);
+}
+
+void MachineRegistry::on_version_response(const std::string& key,
+                                          const std::vector<std::string>& remaining_keys,
+                                          const StoreResponse& response) {
+    call_open_ = false;
+    auto index = keys::parse_registry_part(key);
+    if (index && response.status == StoreStatus::ok && response.rows.size() == 1) {
+        parts_[*index].version = response.rows[0].version;
+    } else if (index && response.status == StoreStatus::not_found) {
+        parts_[*index].version = 0;
+    }
+    refresh_versions(remaining_keys);
+}
+
+MachineRegistry::ChangeNumber MachineRegistry::last_durable_change() const {
+    ChangeNumber oldest_open = last_change_ + 1;
+    for (const auto& [index, part] : parts_) {
+        for (ChangeNumber open : {part.first_unsent_change, part.first_unanswered_change}) {
+            if (open != 0) {
+                oldest_open = std::min(oldest_open, open);
+            }
+        }
+    }
+    return oldest_open - 1;
+}
+
+void MachineRegistry::run_durable_callbacks(Ms now) {
+    ChangeNumber durable = last_durable_change();
+    std::vector<DurableCallback> ready;
+    for (auto callback = durable_callbacks_.begin(); callback != durable_callbacks_.end();) {
+        if (callback->change <= durable) {
+            ready.push_back(std::move(*callback));
+            callback = durable_callbacks_.erase(callback);
+        } else {
+            ++callback;
+        }
+    }
+    // Run after they are taken out: a callback may add others.
+    for (DurableCallback& callback : ready) {
+        callback.run(now);
+    }
+}
+
+}  // namespace walkford
