--- /dev/null
+++ b/src/coordination/zone_failover/zone_admission.cpp
@@ -0,0 +1,158 @@
+#include "coordination/zone_failover/zone_admission.hpp"
+
+#include <algorithm>
+
+#include "coordination/zone_failover/recovery_ramp.hpp"
+
+namespace walkford {
+
+void ZoneAdmission::begin_round(Ms now, const FreeCapacity& free_capacity, bool evacuating) {
+    for (Id zone = 0; zone < zones_.size(); ++zone) {
+        compute_budget(now, zone, free_capacity);
+    }
+    if (evacuating && holds_reserve(now)) {
+        build_reserve(free_capacity);
+    }
+}
+
+void ZoneAdmission::compute_budget(Ms now, Id zone, const FreeCapacity& free_capacity) {
+    Budget& budget = budgets_[zone];
+    budget = {};
+    if (zones_.unrestricted(zone)) {
+        return;
+    }
+    Resources capacity;
+    Resources allocated;
+    for (const FreeCapacity::MachineGroup& machine_group : free_capacity.groups()) {
+        if (machine_group.zone != zone) {
+            continue;
+        }
+        for (const FreeCapacity::MachineCapacity& free : machine_group.machines) {
+            const Machine& machine = context_.cluster.machines[free.machine];
+            capacity += machine_group.size;
+            allocated += machine.used;
+            count_starting(budget, machine);
+        }
+    }
+    const ZoneStatus& status = zones_[zone];
+    RecoveryRamp ramp(settings_, status.durable.failed_ramps);
+    double share = zones_.lost(zone) ? ramp.first_share() : ramp.share(now - status.durable_since);
+    budget.capacity = capacity * share - allocated;
+    budget.empty = allocated.cpus <= 0 && allocated.gpus <= 0 && allocated.ram <= 0;
+}
+
+void ZoneAdmission::count_starting(Budget& budget, const Machine& machine) {
+    ClusterState& cluster = context_.cluster;
+    budget.fetches += static_cast<std::uint32_t>(cluster.image_fetches_in_progress(machine));
+    for (TaskRef ref : machine.tasks) {
+        bool starting = cluster.task(ref).state != TaskState::running;
+        if (cluster.jobs[ref.job].spec.service() && starting) {
+            ++budget.replicas_starting;
+            budget.jobs_starting.insert(ref.job);
+        }
+    }
+}
+
+// Capacity is reserved only for a while after a zone began to fail.
+bool ZoneAdmission::holds_reserve(Ms now) const {
+    for (Id zone = 0; zone < zones_.size(); ++zone) {
+        if (zones_.failing(zone) && now < zones_[zone].failing_since + to_ms(settings_.hold_s)) {
+            return true;
+        }
+    }
+    return false;
+}
+
+void ZoneAdmission::build_reserve(const FreeCapacity& free_capacity) {
+    claim_displaced_work();
+    if (!reserve_.empty()) {
+        count_free_slots(free_capacity);
+    }
+}
+
+void ZoneAdmission::claim_displaced_work() {
+    const ClusterState& cluster = context_.cluster;
+    for (Id job_id : displaced_.jobs()) {
+        int class_position = displaced_.evacuation_position(cluster, job_id);
+        const Job& job = cluster.jobs[job_id];
+        if (class_position == displaced_.order().last_position() || job.cancelled) {
+            continue;
+        }
+        auto leaving = job.zones.find(displaced_.zone_of(job_id));
+        std::uint32_t tasks = leaving == job.zones.end() ? 0 : leaving->second;
+        tasks += std::min(static_cast<std::uint32_t>(job.retry_queue.size()),
+                          cluster.quota_headroom(job.spec.team, job.spec.each));
+        if (tasks > 0) {
+            reserve_.claim(job.spec, static_cast<int>(job.spec.priority), class_position, tasks);
+        }
+    }
+}
+
+void ZoneAdmission::count_free_slots(const FreeCapacity& free_capacity) {
+    for (const FreeCapacity::MachineGroup& machine_group : free_capacity.groups()) {
+        if (!zones_.open(machine_group.zone)) {
+            continue;
+        }
+        for (const FreeCapacity::MachineCapacity& capacity : machine_group.machines) {
+            reserve_.count({machine_group.machine_type, machine_group.zone, machine_group.spot,
+                            capacity.free});
+        }
+    }
+}
+
+bool ZoneAdmission::bound_to(const Job& job, Id zone) {
+    return job.spec.zone == zone || (job.spec.one_zone && job.zones.count(zone) > 0);
+}
+
+bool ZoneAdmission::admits(Id job_id, Id zone, bool waited_long) const {
+    const Budget& budget = budgets_[zone];
+    const Job& job = context_.cluster.jobs[job_id];
+    if (job.spec.service() && (budget.replicas_starting >= settings_.replicas ||
+                               budget.jobs_starting.count(job_id) > 0)) {
+        return false;
+    }
+    if (waited_long) {
+        return true;
+    }
+    if (zones_.lost(zone) && !bound_to(job, zone)) {
+        return false;
+    }
+    std::uint32_t together = job.spec.gang() ? job.spec.tasks - job.assigned : 1;
+    Resources wanted = job.spec.each * static_cast<double>(together);
+    return budget.empty || wanted.fits_in(budget.capacity);
+}
+
+bool ZoneAdmission::admits_fetch(Id zone, int fetches) const {
+    return static_cast<std::uint32_t>(fetches) < settings_.fetches_per_machine &&
+           budgets_[zone].fetches < settings_.fetches_per_zone;
+}
+
+bool ZoneAdmission::reserved(Id job, int priority, const EvacuationReserve::Place& place) const {
+    if (reserve_.empty()) {
+        return false;
+    }
+    return reserve_.blocks(context_.cluster.jobs[job].spec.each, priority,
+                           displaced_.evacuation_position(context_.cluster, job), place);
+}
+
+void ZoneAdmission::add_placed_task(Id job_id, const EvacuationReserve::Place& place,
+                                    bool fetches) {
+    const Job& job = context_.cluster.jobs[job_id];
+    reserve_.take(job.spec.each, place);
+    reserve_.fulfil(job.spec.job_class, static_cast<int>(job.spec.priority),
+                    displaced_.evacuation_position(context_.cluster, job_id));
+    if (place.zone >= budgets_.size()) {
+        return;
+    }
+    Budget& budget = budgets_[place.zone];
+    budget.capacity -= job.spec.each;
+    budget.fetches += fetches;
+    // The rest of a gang follows its first member.
+    budget.empty = budget.empty && job.spec.gang() && job.assigned < job.spec.tasks;
+    if (job.spec.service()) {
+        ++budget.replicas_starting;
+        budget.jobs_starting.insert(job_id);
+    }
+}
+
+}  // namespace walkford
--- a/src/coordination/zone_failover/zone_evidence.hpp
+++ b/src/coordination/zone_failover/zone_evidence.hpp
@@ -6,6 +6,7 @@
 
 namespace walkford {
 
+// Observed every half second by ZoneObserver; ZoneHealth evaluates it.
 struct ZoneEvidence {
     std::uint32_t machines = 0;           // that should report ...
     std::uint32_t silent_machines = 0;    // ... and do not, or were taken away unannounced lately
@@ -17,6 +18,9 @@
     // The observer's own lease and view are proven, and it has led for long enough to judge.
     bool conclusive = true;
 
+    // Machines that should report, and do.
+    std::uint32_t reporting_machines() const { return machines - silent_machines; }
+    // The share of machines that are silent, from 0 to 1; 0 without machines.
     double silent_share() const {
         return machines == 0 ? 0.0 : static_cast<double>(silent_machines) / machines;
     }
--- a/src/coordination/zone_failover/zone_failover_manager.hpp
+++ b/src/coordination/zone_failover/zone_failover_manager.hpp
@@ -1,5 +1,5 @@
-// The leader's part in zone failover: gathers evidence, keeps each zone's record durable, and tells
-// placing, renting and writing what follows from it. docs/zone-failover.md has the reasons.
+// The leader's part in zone failover: observes the zones, keeps each one's record durable, and
+// answers what follows from it for placement and scaling. docs/zone-failover.md has the reasons.
 #pragma once
 
 #include "bookkeeping/free_capacity.hpp"
@@ -8,128 +8,88 @@
 #include "coordination/leader/task_lifecycle.hpp"
 #include "coordination/workers/worker_manager.hpp"
 #include "coordination/zone_failover/displaced_work.hpp"
+#include "coordination/zone_failover/displaced_work_marker.hpp"
 #include "coordination/zone_failover/evacuation_reserve.hpp"
-#include "coordination/zone_failover/zone_health.hpp"
+#include "coordination/zone_failover/zone_admission.hpp"
+#include "coordination/zone_failover/zone_observer.hpp"
+#include "coordination/zone_failover/zone_record_store.hpp"
+#include "coordination/zone_failover/zone_table.hpp"
 
 namespace walkford {
 
+// Composes the classes of this folder and is what the rest of the leader sees of them. Owned by the
+// leader for one term.
 class ZoneFailoverManager {
   public:
     explicit ZoneFailoverManager(LeaderContext& context);
+    // Its parts refer to one another.
+    ZoneFailoverManager(const ZoneFailoverManager&) = delete;
+    ZoneFailoverManager& operator=(const ZoneFailoverManager&) = delete;
 
+    // Observes and evaluates the zones when that is due. Called in each step of the leader.
     void tick(Ms now, const WorkerManager& workers, const CloudManager& cloud);
 
     // Switched on, and all controllers read its records.
     bool active() const;
 
-    // ---- for placing
-    // Looks at the zones anew, at the beginning of a round of placing.
+    // ---- for placement
+    // Called at the beginning of each round of placement.
     void begin_round(Ms now, const FreeCapacity& free_capacity);
-    // Some zone is not well, so that the questions below have to be asked.
+    // Some zone is restricted or work is displaced, so that the questions below have to be asked.
     bool restricts() const { return restricts_ || evacuating_; }
-    // May a task of the job (of a gang: all of them) begin in the zone now?
+    // May a task of the job (of a gang: all of them) start in the zone now?
     bool admits(Id job, Id zone) const;
-    // May a machine there begin to fetch an image, with so many fetches under way on it?
+    // May a machine there start an image fetch, with so many fetches under way on it?
     bool admits_fetch(Id zone, int fetches) const;
-    // Is the place kept for displaced work that goes before the job?
+    // Is the place left to displaced work that is placed before the job?
     bool reserved(Id job, int priority, const EvacuationReserve::Place& place) const;
     // A task was placed; `place` as it was before.
     void placed(Id job, const EvacuationReserve::Place& place, bool fetches);
-    // Work may be gathered for or stopped there as in any zone.
-    bool open(Id zone) const;
+    // Capacity may be reserved, and other work preempted, there as in any zone.
+    bool open(Id zone) const { return zones_.open(zone); }
     // The job can run in a lost zone only: it waits, and nobody waits for it.
     bool waits_for_zone(Id job) const;
 
     // ---- the order of displaced work
+    // Some zone fails or returns, and displaced work does not run again yet.
     bool evacuating() const { return evacuating_; }
+    // The job's position in the evacuation order, 0 first; the last one if it is not displaced.
     int evacuation_position(Id job) const;
     // Since when the job's waiting counts: an older wait gives displaced work no advantage.
     Ms waits_since(Id job) const;
 
-    // ---- for renting
+    // ---- for scaling
     // Silent machines there are no capacity any more.
-    bool lost(Id zone) const;
-    // How many more machines may be rented there, with so many reporting and so many on their way,
-    // for a job that fits nowhere (kNone: for work that could be elsewhere).
+    bool lost(Id zone) const { return zones_.lost(zone); }
+    // How many more machines may be requested there, with so many reporting and so many on their
+    // way, for a job that fits nowhere (kNone: for work that could be elsewhere).
     std::uint32_t scale_out_allowance(Id zone, std::uint32_t reporting, std::uint32_t on_their_way,
                                       Id for_job) const;
-    // The job has waited so long that a zone that is not well is tried for it.
+    // The job has waited so long that a restricted zone is tried for it.
     bool waited_long(Id job) const;
-    // Over how many zones rentals for displaced work are divided.
+    // Over how many zones scale-out for displaced work is divided; at least one.
     std::uint32_t open_zones() const;
 
   private:
-    struct Zone {
-        explicit Zone(const ZoneFailoverSettings& settings) : health(settings) {}
-        std::string name;
-        ZoneHealth health;
-        ZoneEvidence evidence;
-        // What stands in the durable record, and is acted on.
-        ZoneRecord durable;
-        Ms durable_since = 0;  // when the state acted on began
-        Ms failing_since = 0;  // when it last ceased to be well
-        std::uint64_t version = 0;
-        bool writing = false;
-        bool rewrite = false;  // the stored value can't be read
-        Ms write_at = 0;
-        Ms written_at = 0;
-    };
-    // What may begin in a zone within this round.
-    struct Gate {
-        ZoneState state = ZoneState::up;
-        bool first = false;  // nothing is booked there: one job may begin, whatever its size
-        Resources capacity;  // returning: what the ramp still admits
-        std::uint32_t fetches = 0;
-        std::uint32_t replicas_starting = 0;
-        std::set<Id> jobs_starting;  // services with a replica that starts there
-    };
-    // What is remembered of a machine from one observation to the next.
-    enum class Hearing : std::uint8_t { not_expected, heard, silent };
-    struct MachineWatch {
-        Hearing last = Hearing::not_expected;
-        bool noticed = false;  // the cloud has said that it takes it
-        bool left = false;     // it is gone, or being given back
-        Ms taken_at = -1;  // the cloud took it unannounced, or it was given back for its silence
-    };
-
     void load(Ms now);
-    void load_zone(Ms now, Zone& zone);
-    void observe(Ms now, const WorkerManager& workers, const CloudManager& cloud);
-    void observe_machines(Ms now, const WorkerManager& workers);
-    bool expects_report(const Machine& machine, Ms now) const;
-    Hearing hear(Ms now, const Machine& machine, MachineWatch& watch,
-                 const WorkerManager& workers) const;
-    void observe_controllers(Ms now);
-    void judge(Ms now, Id zone);
-    void mark_displaced(Ms now, Id zone, const WorkerManager* workers);
-    void mark_interrupted(Ms now, Id zone);
-    void write(Ms now, Id zone);
-    void written(Ms now, Id zone, const ZoneRecord& record, const StoreResponse& reply);
-    bool write_due(Ms now, Zone& zone);
-    void act_on(Ms now, Id zone, const ZoneRecord& record);
-    void tell_loss(Id zone) const;
-    void end_observation(Ms now);
-    void build_reserve(Ms now, const FreeCapacity& free_capacity);
-    void build_gate(Ms now, Id zone, const FreeCapacity& free_capacity);
-    void count_starting(Gate& gate, const Machine& machine);
-    Ms judging_since() const;
-    bool failing(Id zone) const;  // under suspicion, or lost
-    ZoneState acted_on(Id zone) const;
-    bool any_open() const;
-    bool bound_to(const Job& job, Id zone) const;
+    void evaluate(Ms now, Id zone);
+    void on_record_durable(Ms now, Id zone, const ZoneRecord& record);
+    void collect_finished_work(Ms now);
+    void update_restrictions();
 
     LeaderContext& context_;
     const ZoneFailoverSettings& settings_;
-    std::vector<Zone> zones_;  // by id, those that the settings name
-    std::vector<Gate> gates_;
-    std::vector<MachineWatch> watches_;
+    ZoneTable zones_;
     DisplacedWork displaced_;
-    EvacuationReserve reserve_;
+    ZoneRecordStore records_;
+    ZoneObserver observer_;
+    DisplacedWorkMarker marker_;
+    ZoneAdmission admission_;
     bool loaded_ = false;
-    bool restricts_ = false;
-    bool evacuating_ = false;
-    Ms now_ = 0;
-    Ms observe_at_ = 0;
+    bool restricts_ = false;   // some zone is lost or returning
+    bool evacuating_ = false;  // some zone is not healthy, and work is displaced
+    Ms now_ = 0;               // of the last tick or round
+    Ms next_observation_at_ = 0;
 };
 
 }  // namespace walkford
--- /dev/null
+++ b/src/coordination/zone_failover/zone_observer.cpp
@@ -0,0 +1,118 @@
+#include "coordination/zone_failover/zone_observer.hpp"
+
+namespace walkford {
+
+namespace {
+// The view is confirmed each second while the state service answers.
+constexpr Ms kMaxConfirmationAge = 3000;
+constexpr Ms kControllerHeartbeatSpan = 5000;
+// A machine that was lost without notice counts as silent for so long.
+constexpr Ms kLostMachineCounts = 30000;
+// How long machines take to find a new leader, beyond two report intervals.
+constexpr Ms kFindLeader = 3000;
+}  // namespace
+
+void ZoneObserver::observe(Ms now, const WorkerManager& workers, const CloudManager& cloud) {
+    bool conclusive = context_.holds_lease && now > judging_since() &&
+                      context_.view_confirmed_until >= now - kMaxConfirmationAge;
+    for (Id zone = 0; zone < zones_.size(); ++zone) {
+        zones_[zone].evidence = {};
+        zones_[zone].evidence.conclusive = conclusive;
+    }
+    observe_machines(now, workers);
+    observe_controllers(now);
+    std::uint32_t all_reporting = 0;
+    for (Id zone = 0; zone < zones_.size(); ++zone) {
+        all_reporting += zones_[zone].evidence.reporting_machines();
+    }
+    for (Id zone = 0; zone < zones_.size(); ++zone) {
+        ZoneEvidence& evidence = zones_[zone].evidence;
+        evidence.relayed = context_.controller.replica.relayed(zones_[zone].name);
+        evidence.scale_out_refused = cloud.refused_lately(zone, now);
+        evidence.others_heard = all_reporting > evidence.reporting_machines();
+    }
+}
+
+// A new leader has yet to be found by the machines.
+Ms ZoneObserver::judging_since() const {
+    return context_.elected_at + to_ms(2 * context_.controller.platform_settings.report_s) +
+           kFindLeader;
+}
+
+void ZoneObserver::observe_machines(Ms now, const WorkerManager& workers) {
+    const ClusterState& cluster = context_.cluster;
+    watches_.resize(cluster.machines.size());
+    for (Id machine_id = 0; machine_id < cluster.machines.size(); ++machine_id) {
+        const Machine& machine = cluster.machines[machine_id];
+        if (machine.zone >= zones_.size()) {
+            continue;
+        }
+        ReportStatus status = observe_machine(now, machine, watches_[machine_id], workers);
+        ZoneEvidence& evidence = zones_[machine.zone].evidence;
+        evidence.machines += status != ReportStatus::not_expected;
+        evidence.silent_machines += status == ReportStatus::silent;
+    }
+}
+
+ZoneObserver::ReportStatus ZoneObserver::observe_machine(Ms now, const Machine& machine,
+                                                         MachineWatch& watch,
+                                                         const WorkerManager& workers) const {
+    if (machine.terminated || machine.releasing) {
+        return observe_left_machine(now, machine, watch);
+    }
+    bool reporting = workers.reported_recently(machine, now);
+    // A machine whose reclaim the cloud announced says nothing of its zone.
+    watch.reclaim_announced =
+        machine.worker.reclaim_at >= 0 || (watch.reclaim_announced && !reporting);
+    if (!expects_report(machine, now) || watch.reclaim_announced) {
+        watch.last = ReportStatus::not_expected;
+    } else {
+        watch.last = reporting ? ReportStatus::reporting : ReportStatus::silent;
+    }
+    return watch.last;
+}
+
+ZoneObserver::ReportStatus ZoneObserver::observe_left_machine(Ms now, const Machine& machine,
+                                                              MachineWatch& watch) const {
+    if (!watch.left) {
+        watch.left = true;
+        // Released for its silence; or taken without notice, perhaps before it found this leader.
+        bool never_met = !machine.worker.reported && !machine.requested_by_this_leader;
+        bool lost = machine.releasing ? watch.last == ReportStatus::silent
+                                      : watch.last != ReportStatus::not_expected || never_met;
+        watch.lost_at = lost ? now : -1;
+    }
+    bool counts = watch.lost_at >= 0 && now < watch.lost_at + kLostMachineCounts;
+    return counts ? ReportStatus::silent : ReportStatus::not_expected;
+}
+
+bool ZoneObserver::expects_report(const Machine& machine, Ms now) const {
+    if (!machine.registered || machine.health.quarantined) {
+        return false;
+    }
+    // A machine that an earlier leader used, or that the cloud lists as running, has a worker that
+    // should have found this leader by now.
+    bool was_up = machine.listing.state == CloudMachineState::running || !machine.tasks.empty();
+    return machine.worker.reported ||
+           (!machine.requested_by_this_leader && was_up && now > judging_since());
+}
+
+void ZoneObserver::observe_controllers(Ms now) {
+    const PlatformSettings& platform_settings = context_.controller.platform_settings;
+    for (Id zone_id = 0; zone_id < zones_.size(); ++zone_id) {
+        ZoneStatus& zone = zones_[zone_id];
+        bool own = platform_settings.zone == zone.name;
+        zone.evidence.controllers = own;
+        zone.evidence.controllers_heard = own;
+        for (std::size_t peer = 0; peer < platform_settings.peers.size(); ++peer) {
+            if (platform_settings.peers[peer].zone != zone.name) {
+                continue;
+            }
+            ++zone.evidence.controllers;
+            zone.evidence.controllers_heard +=
+                context_.peer_heard && context_.peer_heard(now, peer, kControllerHeartbeatSpan);
+        }
+    }
+}
+
+}  // namespace walkford
