--- a/src/bookkeeping/cluster_state.cpp
+++ b/src/bookkeeping/cluster_state.cpp
@@ -122,10 +122,10 @@
         return 0;
     }
     double n = 1000;
-    for (int r = 0; r < kResources; ++r) {
-        double each = s.each.get(r);
+    for (Resource resource : kResources) {
+        double each = s.each.get(resource);
         if (each > 0) {
-            n = std::min(n, std::floor((free.get(r) + 1e-6) / each));
+            n = std::min(n, std::floor((free.get(resource) + 1e-6) / each));
         }
     }
     return n <= 0 ? 0 : static_cast<std::uint32_t>(n);
--- a/src/bookkeeping/types.hpp
+++ b/src/bookkeeping/types.hpp
@@ -1,6 +1,7 @@
 // The domain's own words. Nothing in here knows a socket, a clock or a wire name.
 #pragma once
 
+#include <array>
 #include <cstdint>
 #include <limits>
 #include <string>
@@ -18,6 +19,24 @@
 // Steady clocks of two machines drift apart by up to 0.05%; twice that is allowed for.
 inline Ms with_drift(Ms span) { return span + span / 1000 + 1; }
 
+// A kind of resource that machines offer and tasks take.
+enum class Resource : std::uint8_t { cpu, memory, gpu };
+// All of them, in the order in which they are looked at.
+inline constexpr std::array kResources = {Resource::cpu, Resource::memory, Resource::gpu};
+
+// The name in log lines.
+inline const char* resource_name(Resource resource) {
+    switch (resource) {
+        case Resource::cpu:
+            return "cores";
+        case Resource::memory:
+            return "memory";
+        case Resource::gpu:
+            return "gpus";
+    }
+    return "";
+}
+
 struct Resources {
     double cpus = 0;
     double gpus = 0;
@@ -45,10 +64,18 @@
         constexpr double kSlack = 1e-6;
         return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack && ram <= room.ram + kSlack;
     }
-    double get(int resource) const { return resource == 0 ? cpus : resource == 1 ? ram : gpus; }
+    double get(Resource resource) const {
+        switch (resource) {
+            case Resource::cpu:
+                return cpus;
+            case Resource::memory:
+                return ram;
+            case Resource::gpu:
+                return gpus;
+        }
+        return 0;
+    }
 };
-inline constexpr int kResources = 3;  // cores, memory, GPUs: the order of Amounts::get
-inline const char* resource_name(int r) { return r == 0 ? "cores" : r == 1 ? "memory" : "gpus"; }
 
 // Names to dense indices; an index is never reused.
 class Interner {
--- a/src/coordination/scaling/scaler.cpp
+++ b/src/coordination/scaling/scaler.cpp
@@ -22,9 +22,10 @@
 }  // namespace
 
 bool Scaler::back_soon(const Machine& m, Ms now) const {
-    return m.registered && m.worker.reported && !m.terminated && !m.releasing && !m.health.quarantined &&
-           m.worker.reclaim_at < 0 && m.listing.state != CloudMachineState::failed &&
-           m.acknowledgement.missed_answers == 0 && !zone_failover_.lost(m.zone) &&
+    return m.registered && m.worker.reported && !m.terminated && !m.releasing &&
+           !m.health.quarantined && m.worker.reclaim_at < 0 &&
+           m.listing.state != CloudMachineState::failed && m.acknowledgement.missed_answers == 0 &&
+           !zone_failover_.lost(m.zone) &&
            (context_.relayed(m) || now < m.worker.last_heartbeat +
                                              to_ms(context_.controller.platform_settings.lease_s) +
                                              kBackWithin);
@@ -146,13 +147,13 @@
             break;
         }
     }
-    for (int r = 0; r < kResources; ++r) {
-        double want = utilization_.allocated.get(r) + utilization_.pending.get(r);
-        double have = utilization_.capacity.get(r);
+    for (Resource resource : kResources) {
+        double want = utilization_.allocated.get(resource) + utilization_.pending.get(resource);
+        double have = utilization_.capacity.get(resource);
         double share = want <= 1e-9 ? 0 : have <= 1e-9 ? 1e9 : want / have;
         if (share > utilization_.value) {
             utilization_.value = share;
-            utilization_.driving = r;
+            utilization_.driving = resource;
         }
     }
 }
@@ -336,13 +337,13 @@
     }
 }
 
-std::vector<Scaler::Option> Scaler::options(const JobSpec* s, int resource, Ms now,
-                                            const CloudManager& cloud) const {
+std::vector<Scaler::Option> Scaler::options(const JobSpec* s, std::optional<Resource> resource,
+                                            Ms now, const CloudManager& cloud) const {
     const ClusterState& cluster = context_.cluster;
     const OperatorSettings& operator_settings = context_.controller.operator_settings;
     std::vector<Option> list;
     for (const MachineType& k : cluster.machine_types()) {
-        if (resource >= 0 && k.size.get(resource) <= 0) {
+        if (resource && k.size.get(*resource) <= 0) {
             continue;
         }
         for (Id zone : k.zones) {
@@ -362,7 +363,7 @@
                 }
                 Option o{k.id, zone, spot, spot ? k.spot_price : k.price, k.size.cpus, 0};
                 // Price for a task of this job on such a machine, or for the driving resource.
-                o.cost = o.price / (s ? suits(*s) : k.size.get(resource));
+                o.cost = o.price / (s ? suits(*s) : k.size.get(*resource));
                 if (o.cost <= 0) {
                     continue;
                 }
@@ -427,24 +428,25 @@
     if (utilization_.value <= operator_settings.mark_high || waiting_.empty()) {
         return;
     }
-    int r = utilization_.driving;
+    Resource driving = utilization_.driving;
     double middle = (operator_settings.mark_low + operator_settings.mark_high) / 2;
-    double need = (utilization_.allocated.get(r) + utilization_.pending.get(r)) / middle -
-                  utilization_.capacity.get(r);
+    double need =
+        (utilization_.allocated.get(driving) + utilization_.pending.get(driving)) / middle -
+        utilization_.capacity.get(driving);
     // What a lost zone displaced is divided among the others.
     double parts = zone_failover_.evacuating() ? zone_failover_.open_zones() : 1;
     double part = need / parts;
-    for (const Option& o : options(nullptr, r, now, cloud)) {
+    for (const Option& o : options(nullptr, driving, now, cloud)) {
         if (need <= 1e-6) {
             break;
         }
-        double each = context_.cluster.machine_type(o.machine_type)->size.get(r);
+        double each = context_.cluster.machine_type(o.machine_type)->size.get(driving);
         double wanted = std::ceil(std::min(need, part) / each);
         auto n = static_cast<std::uint32_t>(std::clamp(wanted, 1.0, 50.0));
         n = request_machines(
             now, o, n,
             fmt::format("measure {:.2f} of {} above {:.2f}", std::min(utilization_.value, 999.0),
-                        resource_name(r), operator_settings.mark_high),
+                        resource_name(driving), operator_settings.mark_high),
             cloud);
         if (n == 0) {
             continue;
@@ -462,7 +464,7 @@
     if (now < j.waiting_since + to_ms(context_.controller.operator_settings.unplaceable_after_s)) {
         return false;
     }
-    std::vector<Option> all = options(&j.spec, -1, now, cloud);
+    std::vector<Option> all = options(&j.spec, std::nullopt, now, cloud);
     return std::any_of(d.ways.begin(), d.ways.end(), [&](const auto& way) {
         return way.second > 0 && scale_out_places(now, j, way.first, way.second, all, cloud);
     });
--- a/src/coordination/scaling/scaler.hpp
+++ b/src/coordination/scaling/scaler.hpp
@@ -2,6 +2,8 @@
 // temporary machine below the low mark. Exceptions are named in docs/design.md.
 #pragma once
 
+#include <optional>
+
 #include "coordination/cloud/cloud_manager.hpp"
 #include "coordination/leader/leader_context.hpp"
 #include "coordination/workers/worker_manager.hpp"
@@ -17,7 +19,7 @@
 
     struct Utilization {
         Resources allocated, pending, capacity;
-        int driving = 0;
+        Resource driving = Resource::cpu;
         double value = 0;
     };
     const Utilization& last() const { return utilization_; }
@@ -64,7 +66,7 @@
     bool scale_out_places(Ms now, const Job& j, Id zone, std::uint32_t count,
                           const std::vector<Option>& all, CloudManager& cloud);
     void add_bins(const Option& o, std::uint32_t n);
-    std::vector<Option> options(const JobSpec* for_job, int resource, Ms now,
+    std::vector<Option> options(const JobSpec* for_job, std::optional<Resource> resource, Ms now,
                                 const CloudManager& cloud) const;
     void scale_out_by_utilization(Ms now, CloudManager& cloud);
     bool scale_out_for(Ms now, const PendingDemand& d, CloudManager& cloud);
