--- a/src/bookkeeping/free_capacity.hpp
+++ b/src/bookkeeping/free_capacity.hpp
@@ -43,7 +43,8 @@
             MachineGroup& machine_group = groups_[it->second];
             where_[id] = {static_cast<Id>(it->second),
                           static_cast<Id>(machine_group.machines.size())};
-            machine_group.machines.push_back({id, machine_type->size - m.used, m.health.failures() > 0});
+            machine_group.machines.push_back(
+                {id, machine_type->size - m.used, m.health.failures() > 0});
             raise(machine_group.most, machine_group.machines.back().free);
         }
     }
--- a/src/coordination/scaling/scaler.hpp
+++ b/src/coordination/scaling/scaler.hpp
@@ -1,106 +1,115 @@
-// The design's rule: rent above the high mark until the marks' midpoint, give back one empty
-// temporary machine below the low mark. Exceptions are named in docs/design.md.
+// Decides when machines are requested and released. The design's rule: scale out above the high
+// mark of utilization until the marks' midpoint, release one empty temporary machine below the low
+// mark. Exceptions are named in docs/design.md.
 #pragma once
 
-#include <optional>
+#include <functional>
+#include <vector>
 
 #include "coordination/cloud/cloud_manager.hpp"
 #include "coordination/leader/leader_context.hpp"
+#include "coordination/scaling/trial_packing.hpp"
+#include "coordination/scaling/utilization.hpp"
 #include "coordination/workers/worker_manager.hpp"
 #include "coordination/zone_failover/zone_failover_manager.hpp"
 
 namespace walkford {
 
+// Sizes the fleet for the leader; owns nothing durable. Each tick measures the utilization, packs
+// the pending demand on trial, and decides by both.
 class Scaler {
   public:
+    using Utilization = walkford::Utilization;
+
+    // The references must outlive the scaler.
     Scaler(LeaderContext& context, const ZoneFailoverManager& zone_failover)
-        : context_(context), zone_failover_(zone_failover) {}
+        : context_(context),
+          zone_failover_(zone_failover),
+          meter_(context, zone_failover),
+          trial_packing_(context.cluster) {}
+
+    // Called by the leader at every step; does nothing until the next tick is due.
     void tick(Ms now, const WorkerManager& workers, CloudManager& cloud);
 
-    struct Utilization {
-        Resources allocated, pending, capacity;
-        Resource driving = Resource::cpu;
-        double value = 0;
-    };
-    const Utilization& last() const { return utilization_; }
+    // The utilization as of the last tick.
+    const Utilization& last() const { return meter_.last().utilization; }
 
   private:
-    struct Bin {  // what a machine, or one on its way, has free
-        Resources free;
+    // A machine type in a zone, on demand or spot, that can be requested now.
+    struct ScaleOutCandidate {
         Id machine_type = kNone;
         Id zone = kNone;
-        Id machine = kNone;
         bool spot = false;
-        bool taken = false;  // the trial packing put something here
-    };
-    struct PendingDemand {  // waiting tasks of one job that the team's limit admits
-        Id job = kNone;
-        std::uint32_t count = 0;
-        // Once tried: zone and how many more places there would do, the least first; kNone: any
-        // zone.
-        std::vector<std::pair<Id, std::uint32_t>> ways = {};
+        double price = 0;  // per hour
+        double cores = 0;
+        double cost = 0;  // price per unit of what is short
     };
-    struct Option {
-        Id machine_type = kNone;
-        Id zone = kNone;
-        bool spot = false;
+    // A machine that may be released.
+    struct ReleaseCandidate {
         double price = 0;
-        double cores = 0;
-        double cost = 0;  // price for what is short
+        Id machine = kNone;
+        // The most expensive first.
+        bool operator<(const ReleaseCandidate& other) const {
+            return price != other.price ? price > other.price : machine < other.machine;
+        }
     };
 
-    void tell(Ms now, const WorkerManager& workers);
-    // Machines that are silent, but not for so long that they are given up.
-    bool back_soon(const Machine& m, Ms now) const;
-    bool many_silent(Ms now, const WorkerManager& workers) const;
-    void measure_utilization(Ms now, const WorkerManager& workers, const CloudManager& cloud);
-    // A trial packing of what waits; left_ becomes what fits nowhere. With `cloud`, machines are
-    // rented for that on the way.
-    void trial_pack(Ms now, CloudManager* cloud);
-    // Puts the demand where there is room and says how many more places would do.
-    void trial_pack_demand(PendingDemand& d, bool finally);
-    // Puts up to n tasks into the rooms of a zone; n becomes what is left over.
-    void fill_bins(const JobSpec& s, Id zone, std::uint32_t& n);
-    std::uint32_t places(const JobSpec& s, Id zone, std::uint32_t most);
-    bool surely_full(const JobSpec& s) const;
-    bool scale_out_places(Ms now, const Job& j, Id zone, std::uint32_t count,
-                          const std::vector<Option>& all, CloudManager& cloud);
-    void add_bins(const Option& o, std::uint32_t n);
-    std::vector<Option> options(const JobSpec* for_job, std::optional<Resource> resource, Ms now,
-                                const CloudManager& cloud) const;
-    void scale_out_by_utilization(Ms now, CloudManager& cloud);
-    bool scale_out_for(Ms now, const PendingDemand& d, CloudManager& cloud);
-    void scale_in(Ms now, CloudManager& cloud);
-    std::uint32_t machine_count(Id machine_type, const CloudManager& cloud) const;
-    // How many were asked for. `for_job`: a job that fits nowhere; kNone: by the measure.
-    std::uint32_t request_machines(Ms now, const Option& o, std::uint32_t n, const std::string& why,
+    // Begins a trial packing and lets `pack` pack each demand; unplaced_ becomes what is left over.
+    void pack_each(const FleetMeasurement& fleet, const std::function<void(PendingDemand&)>& pack);
+    // Packs all pending demand on trial.
+    void pack_pending(const FleetMeasurement& fleet);
+    // The same, and requests machines for what fits nowhere on the way.
+    void pack_and_scale_out(Ms now, FleetMeasurement& fleet, CloudManager& cloud);
+    void scale_out_by_utilization(Ms now, FleetMeasurement& fleet, CloudManager& cloud);
+    bool scale_out_for_demand(Ms now, const PendingDemand& demand, FleetMeasurement& fleet,
+                              CloudManager& cloud);
+    bool scale_out_in_zone(Ms now, const Job& job, const ZoneShortfall& shortfall,
+                           const std::vector<ScaleOutCandidate>& candidates,
+                           FleetMeasurement& fleet, CloudManager& cloud);
+
+    // Candidates that offer the resource and suit some unplaced job, the best first.
+    std::vector<ScaleOutCandidate> candidates_for_resource(Ms now, Resource resource,
+                                                           const FleetMeasurement& fleet,
+                                                           const CloudManager& cloud) const;
+    // Candidates that can hold a task of the job, the best first.
+    std::vector<ScaleOutCandidate> candidates_for_job(Ms now, const JobSpec& spec,
+                                                      const FleetMeasurement& fleet,
+                                                      const CloudManager& cloud) const;
+    // `units_of(machine_type, zone, spot)`: how much of what is short such a machine offers.
+    template <typename UnitsOf>
+    std::vector<ScaleOutCandidate> candidates(Ms now, const FleetMeasurement& fleet,
+                                              const CloudManager& cloud,
+                                              const UnitsOf& units_of) const;
+    void rank(std::vector<ScaleOutCandidate>& candidates, const FleetMeasurement& fleet) const;
+
+    // Machines of that type that are registered or requested.
+    static std::uint32_t machine_count(Id machine_type, const FleetMeasurement& fleet,
+                                       const CloudManager& cloud);
+    // Returns how many were requested, 0 if none can be now. `for_job`: a job that fits nowhere;
+    // kNone: requested by the utilization.
+    std::uint32_t request_machines(Ms now, const ScaleOutCandidate& candidate, std::uint32_t count,
+                                   const std::string& reason, FleetMeasurement& fleet,
                                    CloudManager& cloud, Id for_job = kNone);
+    // The machines were requested: later packings count on them.
+    void add_bins(const ScaleOutCandidate& candidate, std::uint32_t count, FleetMeasurement& fleet);
+
+    void scale_in(Ms now, CloudManager& cloud);
+    // How many machines may be released now.
+    std::uint32_t releases_due(Ms now, Ms interval) const;
+    bool release_allowed(Ms now, const Machine& machine, const MachineType& machine_type,
+                         bool below_low_mark) const;
+    std::vector<ReleaseCandidate> release_candidates(Ms now, bool below_low_mark) const;
+    void log_fleet(Ms now, const WorkerManager& workers);
 
     LeaderContext& context_;
     const ZoneFailoverManager& zone_failover_;
-    Ms next_ = 0;
-    Ms out_at_ = -1;
-    Ms in_at_ = 0;
-    Ms told_at_ = 0;
-    Utilization utilization_;
-    std::vector<Bin> bins_;
-    // The trial packing: the rooms as it fills them, those that still have room, the least that
-    // any task needs, and jobs that found none.
-    std::vector<Bin> trial_;
-    std::vector<std::uint32_t> open_;
-    std::size_t filled_ = 0;
-    Resources least_;
-    std::vector<Id> full_;
-    std::size_t looked_ = 0;                                     // work done by it
-    std::map<std::pair<Id, Id>, std::uint32_t> machine_counts_;  // machines by kind and zone
-    // By zone: machines that report, and those that were rented and have not reported yet.
-    struct ZoneMachines {
-        std::uint32_t reporting = 0;
-        std::uint32_t on_their_way = 0;
-    };
-    std::map<Id, ZoneMachines> machines_of_;
-    std::vector<PendingDemand> waiting_;
-    std::vector<PendingDemand> left_;
+    UtilizationMeter meter_;
+    TrialPacking trial_packing_;
+    std::vector<PendingDemand> unplaced_;  // by the last packing
+    Ms next_tick_at_ = 0;
+    Ms scaled_out_at_ = -1;  // -1: not under this leader
+    Ms scale_in_at_ = 0;     // when the next machine may be released
+    Ms log_fleet_at_ = 0;
 };
 
 }  // namespace walkford
