--- /dev/null
+++ b/src/coordination/controller/reachability.cpp
@@ -0,0 +1,85 @@
+#include "coordination/controller/reachability.hpp"
+
+#include <algorithm>
+
+namespace walkford {
+
+namespace {
+constexpr Ms kIsolatedAfter = 4000;
+constexpr Ms kLeaderSilentAfter = 5000;  // longer than the leader's key outlives it
+// What a peer reports of itself counts while its heartbeat is no older than this.
+constexpr Ms kPeerReportValidFor = 1500;
+constexpr int kFailuresToSuspectStore = 3;
+constexpr Ms kStoreQuietAfter = 1500;
+constexpr Ms kWorkersSilentAfter = 8000;
+// A peer counts as reached by workers if one sent it a heartbeat within this span.
+constexpr Ms kWorkersReachPeerWithin = kWorkersSilentAfter / 3;
+constexpr Ms kConfirmWorkersReachOthers = 3000;
+}  // namespace
+
+bool Reachability::isolated(Ms now) const {
+    if (peers_.no_peers()) {
+        return false;
+    }
+    if (now - std::max(times_.started_at, context_.store.last_reached()) < kIsolatedAfter) {
+        return false;
+    }
+    const auto& monitors = peers_.monitors();
+    return std::none_of(monitors.begin(), monitors.end(), [now](const PeerMonitor& monitor) {
+        return monitor.received_within(now, kIsolatedAfter);
+    });
+}
+
+bool Reachability::store_refuses_only_us(Ms now) const {
+    if (context_.store.consecutive_failures() < kFailuresToSuspectStore ||
+        now - context_.store.last_reached() < kStoreQuietAfter) {
+        return false;
+    }
+    const auto& monitors = peers_.monitors();
+    return std::any_of(monitors.begin(), monitors.end(), [now](const PeerMonitor& monitor) {
+        std::int64_t store_quiet_ms = monitor.last().store_quiet_ms;
+        return monitor.received_within(now, kPeerReportValidFor) && store_quiet_ms >= 0 &&
+               store_quiet_ms + (now - monitor.received_at()) < kStoreQuietAfter;
+    });
+}
+
+bool Reachability::leader_silent(Ms now) const {
+    if (!leadership_.following() || !context_.replica.leader ||
+        now - times_.started_at < kLeaderSilentAfter) {
+        return false;
+    }
+    const std::vector<Peer>& peers = context_.platform_settings.peers;
+    for (std::size_t peer = 0; peer < peers.size(); ++peer) {
+        if (peers[peer].name == context_.replica.leader->controller) {
+            return !peers_.received_within(now, peer, kLeaderSilentAfter);
+        }
+    }
+    return false;
+}
+
+bool Reachability::workers_reach_only_others(Ms now, std::optional<Ms> elected_at) {
+    // Workers have yet to find a new leader: that it received nothing as a follower says nothing.
+    if (!elected_at ||
+        now - std::max(times_.worker_heartbeat_received_at, *elected_at) < kWorkersSilentAfter ||
+        !workers_reach_a_peer(now)) {
+        workers_reach_only_others_since_ = -1;
+        return false;
+    }
+    if (workers_reach_only_others_since_ < 0) {
+        workers_reach_only_others_since_ = now;
+    }
+    // The first machine of a new cluster may ask another controller first, and is then redirected
+    // to us.
+    return now - workers_reach_only_others_since_ >= kConfirmWorkersReachOthers;
+}
+
+bool Reachability::workers_reach_a_peer(Ms now) const {
+    const auto& monitors = peers_.monitors();
+    return std::any_of(monitors.begin(), monitors.end(), [now](const PeerMonitor& monitor) {
+        std::int64_t heartbeat_quiet_ms = monitor.last().heartbeat_quiet_ms;
+        return monitor.received_within(now, kPeerReportValidFor) && heartbeat_quiet_ms >= 0 &&
+               heartbeat_quiet_ms < kWorkersReachPeerWithin;
+    });
+}
+
+}  // namespace walkford
--- a/src/coordination/leadership/peer_monitor.cpp
+++ b/src/coordination/leadership/peer_monitor.cpp
@@ -4,83 +4,95 @@
 
 namespace walkford {
 
-void PeerMonitor::sent(Ms now, std::uint64_t sequence) {
-    sent_[sequence] = now;
-    while (sent_.size() > kSentKept) {
-        sent_.erase(sent_.begin());
+namespace {
+// Clocks of two controllers may drift apart by one part in so many.
+constexpr std::int64_t kDriftDivisor = 1000;
+}  // namespace
+
+void PeerMonitor::record_sent(Ms now, std::uint64_t sequence) {
+    sent_at_[sequence] = now;
+    while (sent_at_.size() > kMaxSentRecords) {
+        sent_at_.erase(sent_at_.begin());
     }
 }
 
-Ms PeerMonitor::echoed_at(const PeerHeartbeat& fact, const std::string& incarnation) const {
-    if (fact.echo_incarnation != incarnation) {
+Ms PeerMonitor::echoed_at(const PeerHeartbeat& heartbeat,
+                          const std::string& own_incarnation) const {
+    if (heartbeat.echo_incarnation != own_incarnation) {
         return -1;
     }
-    auto it = sent_.find(fact.echo);
-    return it == sent_.end() ? -1 : it->second;
+    auto sent = sent_at_.find(heartbeat.echo);
+    return sent == sent_at_.end() ? -1 : sent->second;
 }
 
-// Another process than the one last heard: a new one, or one that was taken for ended. A message
-// held up for long may be the first that is heard of a process that ended long ago; the living one
-// then shows that it lives by echoing what we sent just now, or by going on while the other is
-// silent. (It was dropped for good before: one late message made a controller deaf to that peer for
-// the rest of its life, and one at each end made both.) What is vouched for does not hang on which
-// of them lives: a message that echoes ours was written by a process alive since.
-bool PeerMonitor::change_process(Ms now, const PeerHeartbeat& fact, Ms echoed) {
-    auto known = std::find_if(earlier_.begin(), earlier_.end(), [&](const Process& process) {
-        return process.last.incarnation == fact.incarnation;
-    });
+// The heartbeat is of another process than the last one: a new process, or one that was taken for
+// ended. A heartbeat that was delayed for long may be the first one received of a process that
+// ended long ago; the living process then shows that it lives by echoing what we sent just now, or
+// by going on while the other is silent. (Such a process used to be ignored for good: one late
+// heartbeat cut a controller off from that peer for the rest of its life, and one at each end did
+// so to both.) The coverage does not depend on which of them lives: a heartbeat that echoes ours
+// was written by a process that has been alive since.
+bool PeerMonitor::change_process(Ms now, const PeerHeartbeat& heartbeat, Ms echoed) {
+    auto known = std::find_if(
+        earlier_processes_.begin(), earlier_processes_.end(),
+        [&](const Process& process) { return process.last.incarnation == heartbeat.incarnation; });
     Process next;
-    if (known != earlier_.end()) {
-        bool fresh = echoed >= 0 && echoed > process_.vouched_until && now - echoed <= kFreshEcho;
-        bool other_silent = now - heard_at_ > kProcessSilent;
-        if (!(fresh || other_silent) || fact.sequence <= known->last.sequence) {
+    if (known != earlier_processes_.end()) {
+        bool fresh_echo =
+            echoed >= 0 && echoed > process_.covered_until && now - echoed <= kFreshEcho;
+        bool other_silent = now - received_at_ > kProcessSilent;
+        if (!(fresh_echo || other_silent) || heartbeat.sequence <= known->last.sequence) {
             return false;
         }
         next = std::move(*known);
-        earlier_.erase(known);
+        earlier_processes_.erase(known);
     }
-    // Nothing that one process vouched for is carried over to another.
+    // The coverage of one process is not carried over to another.
     if (!process_.last.incarnation.empty()) {
-        earlier_.push_back(std::move(process_));
+        earlier_processes_.push_back(std::move(process_));
     }
-    if (earlier_.size() > kEarlierKept) {
-        earlier_.pop_front();
+    if (earlier_processes_.size() > kMaxEarlierProcesses) {
+        earlier_processes_.pop_front();
     }
     process_ = std::move(next);
     return true;
 }
 
-bool PeerMonitor::hear(Ms now, const PeerHeartbeat& fact, const std::string& incarnation) {
-    Ms echoed = echoed_at(fact, incarnation);
-    if (fact.incarnation != process_.last.incarnation) {
-        if (!change_process(now, fact, echoed)) {
+bool PeerMonitor::receive(Ms now, const PeerHeartbeat& heartbeat,
+                          const std::string& own_incarnation) {
+    Ms echoed = echoed_at(heartbeat, own_incarnation);
+    if (heartbeat.incarnation != process_.last.incarnation) {
+        if (!change_process(now, heartbeat, echoed)) {
             return false;
         }
-    } else if (fact.sequence <= process_.last.sequence) {
+    } else if (heartbeat.sequence <= process_.last.sequence) {
         return false;
     }
-    Ms began = now - (fact.up_ms - fact.up_ms / 1000);
-    process_.began = process_.began < 0 ? began : std::min(process_.began, began);
-    process_.last = fact;
-    heard_at_ = now;
-    // It wrote this after it had our message that it echoes: what it had told by the time we sent
-    // that rests on what the state service had answered it by now.
-    if (echoed > process_.vouched_until) {
-        process_.vouched_until = echoed;
-        process_.rests_on = fact.revision;
+    Ms started_by = now - (heartbeat.up_ms - heartbeat.up_ms / kDriftDivisor);
+    process_.started_by =
+        process_.started_by < 0 ? started_by : std::min(process_.started_by, started_by);
+    process_.last = heartbeat;
+    received_at_ = now;
+    // The peer wrote this after it had received ours that it echoes: what it had answered by the
+    // time we sent that rests on what the state service had answered it by now.
+    if (echoed > process_.covered_until) {
+        process_.covered_until = echoed;
+        process_.covered_revision = heartbeat.revision;
     }
     return true;
 }
 
-Ms PeerMonitor::told_until(Ms proven, std::uint64_t held) {
-    told_until_ = std::max(told_until_, proven);
-    // A process knows nothing of what an earlier one told: that must be in our view by another way
-    // up to when this one began. (A silence that began at its start once vouched for all before.)
-    bool all_its_life = process_.began >= 0 && process_.began <= told_until_;
-    if (all_its_life && process_.rests_on <= held) {
-        told_until_ = std::max(told_until_, process_.vouched_until);
+Ms PeerMonitor::responses_covered_until(Ms confirmed_at, std::uint64_t replica_revision) {
+    responses_covered_until_ = std::max(responses_covered_until_, confirmed_at);
+    // A process knows nothing of what an earlier one answered: up to when this one started, that
+    // must be covered by other means. (A silence that began at its start once counted as covering
+    // everything before.)
+    bool covered_before_start =
+        process_.started_by >= 0 && process_.started_by <= responses_covered_until_;
+    if (covered_before_start && process_.covered_revision <= replica_revision) {
+        responses_covered_until_ = std::max(responses_covered_until_, process_.covered_until);
     }
-    return told_until_;
+    return responses_covered_until_;
 }
 
 }  // namespace walkford
--- a/src/coordination/leadership/peer_monitor.hpp
+++ b/src/coordination/leadership/peer_monitor.hpp
@@ -1,5 +1,5 @@
-// What we know of one other controller: its last message, and up to when all that its processes
-// told any user is surely in our view.
+// What is known of one other controller: its last heartbeat, and until when everything that its
+// processes answered to users is certainly covered by our replica.
 #pragma once
 
 #include <deque>
@@ -9,43 +9,53 @@
 
 namespace walkford {
 
+// One peer as seen from this controller. Owned by PeerHeartbeats, one for each configured peer; it
+// follows the peer through restarts, telling its processes apart by their incarnation.
 class PeerMonitor {
   public:
-    // The sequence of a message to it, and when it was sent.
-    void sent(Ms now, std::uint64_t sequence);
-    // Takes its message; false for one that is older than what is known. `incarnation`: ours.
-    bool hear(Ms now, const PeerHeartbeat& fact, const std::string& incarnation);
-
-    // All that it told anybody by then is in our view, given that everything told by anybody up to
-    // `proven` is, and that the view holds every change up to `held`.
-    Ms told_until(Ms proven, std::uint64_t held);
-
+    // Records that the heartbeat with that sequence number was sent to the peer at `now`.
+    void record_sent(Ms now, std::uint64_t sequence);
+    // Takes in a heartbeat of the peer. `own_incarnation`: that of this process. False, and nothing
+    // changes, if the heartbeat is older than what is known.
+    bool receive(Ms now, const PeerHeartbeat& heartbeat, const std::string& own_incarnation);
+
+    // Until when every response that the peer gave to any user is covered by our replica, given
+    // that those of all controllers are up to `confirmed_at`, and that the replica includes every
+    // change up to `replica_revision`. Never goes back. (docs/design.md has the proof.)
+    Ms responses_covered_until(Ms confirmed_at, std::uint64_t replica_revision);
+
+    // The newest heartbeat; all its fields are empty before the first one.
     const PeerHeartbeat& last() const { return process_.last; }
-    bool heard_within(Ms now, Ms span) const { return heard_at_ >= 0 && now - heard_at_ <= span; }
-    Ms heard_at() const { return heard_at_; }
+    // Was a heartbeat received within the last `span`?
+    bool received_within(Ms now, Ms span) const {
+        return received_at_ >= 0 && now - received_at_ <= span;
+    }
+    // When the newest heartbeat was received; -1: none was.
+    Ms received_at() const { return received_at_; }
 
   private:
-    static constexpr std::size_t kSentKept = 240;
-    static constexpr std::size_t kEarlierKept = 64;
+    static constexpr std::size_t kMaxSentRecords = 240;
+    static constexpr std::size_t kMaxEarlierProcesses = 64;
     static constexpr Ms kFreshEcho = 3000;
     static constexpr Ms kProcessSilent = 3000;
 
     // One process of that controller.
     struct Process {
         PeerHeartbeat last;
-        Ms began = -1;               // it began by then
-        Ms vouched_until = -1;       // what it told by then ...
-        std::uint64_t rests_on = 0;  // ... rests on no later change than this
+        Ms started_by = -1;  // it was running by then
+        // What it answered by `covered_until` rests on no change later than `covered_revision`.
+        Ms covered_until = -1;
+        std::uint64_t covered_revision = 0;
     };
-    // When we sent what the message echoes; -1: it echoes nothing that this process sent.
-    Ms echoed_at(const PeerHeartbeat& fact, const std::string& incarnation) const;
-    bool change_process(Ms now, const PeerHeartbeat& fact, Ms echoed);
-
-    Process process_;  // the one last heard
-    std::deque<Process> earlier_;
-    Ms heard_at_ = -1;
-    std::map<std::uint64_t, Ms> sent_;
-    Ms told_until_ = -1;
+    // When we sent what the heartbeat echoes; -1: it echoes nothing that this process sent.
+    Ms echoed_at(const PeerHeartbeat& heartbeat, const std::string& own_incarnation) const;
+    bool change_process(Ms now, const PeerHeartbeat& heartbeat, Ms echoed);
+
+    Process process_;  // the one whose heartbeat was received last
+    std::deque<Process> earlier_processes_;
+    Ms received_at_ = -1;
+    std::map<std::uint64_t, Ms> sent_at_;  // by sequence number
+    Ms responses_covered_until_ = -1;
 };
 
 }  // namespace walkford
--- a/src/coordination/store/store_client.cpp
+++ b/src/coordination/store/store_client.cpp
@@ -115,9 +115,9 @@
         for (const StoreEntry& row : reply.rows) {
             seen_revision_ = std::max(seen_revision_, row.version);
         }
-        refused_ = 0;
+        consecutive_failures_ = 0;
     } else if (reply.status != StoreStatus::rate_limited) {
-        ++refused_;
+        ++consecutive_failures_;
     }
     if (reply.status == StoreStatus::rate_limited) {
         paused_until_ = std::max(paused_until_, now + kPauseAfterRefusal);
--- a/src/coordination/store/store_client.hpp
+++ b/src/coordination/store/store_client.hpp
@@ -46,8 +46,8 @@
     Ms last_reached() const { return last_reached_; }
     // The highest revision in any answer: nothing that this node told a user is newer.
     std::uint64_t seen_revision() const { return seen_revision_; }
-    // Refusals or silences in a row.
-    int refused() const { return refused_; }
+    // How many requests in a row were refused or left unanswered.
+    int consecutive_failures() const { return consecutive_failures_; }
     std::size_t queued() const;
     const EffectiveStoreLimits& limits() const { return limits_; }
 
@@ -77,7 +77,7 @@
     bool leading_ = false;
     Ms last_reached_ = -1;
     std::uint64_t seen_revision_ = 0;
-    int refused_ = 0;
+    int consecutive_failures_ = 0;
 };
 
 }  // namespace walkford
--- a/tests/leader_test.cpp
+++ b/tests/leader_test.cpp
@@ -1099,7 +1099,7 @@
     std::uint64_t number = 0;
     void SetUp() override {
         for (std::uint64_t n = 1; n <= 20; ++n) {
-            peer.sent(static_cast<Ms>(1000 * n), n);
+            peer.record_sent(static_cast<Ms>(1000 * n), n);
         }
     }
     bool tells(Ms now, const std::string& incarnation, Ms up, std::uint64_t echo,
@@ -1111,35 +1111,36 @@
         f.echo_incarnation = to;
         f.up_ms = up;
         f.revision = revision;
-        return peer.hear(now, f, "me");
+        return peer.receive(now, f, "me");
     }
 };
 
 TEST_F(Vouching, OnlyWhatIsInOurViewIsVouchedForAndItStaysSo) {
-    EXPECT_EQ(peer.told_until(500, 100), 500);  // never heard: our own reading alone
+    EXPECT_EQ(peer.responses_covered_until(500, 100), 500);  // never heard: our own reading alone
     tells(5200, "a", 5000, 5, 101);
-    EXPECT_EQ(peer.told_until(500, 100), 500);  // it may have told of change 101
-    EXPECT_EQ(peer.told_until(500, 101), 5000);
+    EXPECT_EQ(peer.responses_covered_until(500, 100), 500);  // it may have told of change 101
+    EXPECT_EQ(peer.responses_covered_until(500, 101), 5000);
     tells(6200, "a", 6000, 6, 102);
-    EXPECT_EQ(peer.told_until(500, 101), 5000);
-    EXPECT_EQ(peer.told_until(9000, 103), 9000);
+    EXPECT_EQ(peer.responses_covered_until(500, 101), 5000);
+    EXPECT_EQ(peer.responses_covered_until(9000, 103), 9000);
 }
 
 TEST_F(Vouching, AnAnswerToAnotherProcessOfOursSaysNothing) {
     tells(5200, "a", 5000, 5, 0, "me before");
-    EXPECT_EQ(peer.told_until(500, 100), 500);
+    EXPECT_EQ(peer.responses_covered_until(500, 100), 500);
 }
 
 TEST_F(Vouching, AProcessKnowsNothingOfWhatAnEarlierOneTold) {
     tells(5200, "a", 5000, 5, 101);
     tells(7000, "b", 500, 6, 0);  // it began between 6500 and 7000
-    EXPECT_EQ(peer.told_until(5900, 100), 5900);
+    EXPECT_EQ(peer.responses_covered_until(5900, 100), 5900);
     tells(8000, "b", 1500, 7, 0);
-    EXPECT_EQ(peer.told_until(6400, 100), 6400);
-    EXPECT_EQ(peer.told_until(6600, 100), 7000);  // read up to its start: now it counts
+    EXPECT_EQ(peer.responses_covered_until(6400, 100), 6400);
+    // Read up to its start: now it counts.
+    EXPECT_EQ(peer.responses_covered_until(6600, 100), 7000);
     // ... and what an earlier one had vouched for is not taken back by its end.
     tells(9000, "c", 100, 8, 0);
-    EXPECT_EQ(peer.told_until(6600, 100), 7000);
+    EXPECT_EQ(peer.responses_covered_until(6600, 100), 7000);
 }
 
 TEST_F(Vouching, ALateMessageOfAnEarlierProcessIsDropped) {
@@ -1147,7 +1148,7 @@
     tells(7000, "b", 500, 6, 0);
     EXPECT_FALSE(tells(7100, "a", 5500, 5, 100));  // written at 5.6 s, held up
     EXPECT_TRUE(tells(8000, "b", 1500, 7, 0));
-    EXPECT_EQ(peer.told_until(500, 100), 500);
+    EXPECT_EQ(peer.responses_covered_until(500, 100), 500);
 }
 
 // The first that is heard of a process may be a message held up until long after its end. The
@@ -1159,7 +1160,7 @@
     EXPECT_TRUE(tells(9100, "b", 8900, 9, 100));
     EXPECT_EQ(peer.last().incarnation, "b");
     EXPECT_FALSE(tells(9200, "a", 1200, 0, 50, ""));
-    EXPECT_EQ(peer.told_until(500, 100), 9000);
+    EXPECT_EQ(peer.responses_covered_until(500, 100), 9000);
 }
 
 // Late messages at both ends: neither echoes the other any more, and the living ones go on.
@@ -1169,7 +1170,7 @@
     EXPECT_FALSE(tells(7100, "b", 6900, 3, 101, "me before"));
     EXPECT_TRUE(tells(9200, "b", 9000, 3, 101, "me before"));
     EXPECT_EQ(peer.last().incarnation, "b");
-    EXPECT_EQ(peer.told_until(500, 100), 5000) << "vouched for by echoes alone";
+    EXPECT_EQ(peer.responses_covered_until(500, 100), 5000) << "vouched for by echoes alone";
 }
 
 TEST(ControllerTest, TheVeryFirstChangeOfAnEmptyStoreIsSeen) {
