--- a/src/coordination/store/effective_store_limits.hpp
+++ b/src/coordination/store/effective_store_limits.hpp
@@ -19,34 +19,37 @@
 // few seconds from a controller that keeps to its share do. It never rises again.
 class EffectiveStoreLimits {
   public:
+    // Without `next` the current limits stay in force for good.
     EffectiveStoreLimits(const StoreLimits& current, const std::optional<StoreLimits>& next)
         : current_(current), next_(next.value_or(current)) {}
 
+    // The largest value to be written, in bytes.
     std::size_t value_bytes() const {
-        return static_cast<std::size_t>(std::min(current_.value_kb, next_.value_kb) * 1024.0);
-    }
-    // What a value may hold until the later limits are in force.
-    std::size_t current_value_bytes() const {
-        return static_cast<std::size_t>(current_.value_kb * 1024.0);
+        return kilobytes(std::min(current_.value_kb, next_.value_kb));
     }
+    // The largest value that is admitted until the later limits are in force, in bytes.
+    std::size_t current_value_bytes() const { return kilobytes(current_.value_kb); }
+    // The most operations in one transaction.
     std::uint32_t transaction_operations() const {
         return std::min(current_.transaction_operations, next_.transaction_operations);
     }
+    // The writes a second that all controllers together may make.
     double writes_per_s() const {
         return lowered_ ? std::min(current_.writes_per_s, next_.writes_per_s)
                         : current_.writes_per_s;
     }
 
-    // A write was refused for the rate. True if this shows that the later limits are in force.
-    bool refused(Ms now) {
+    // Records that a write was refused for the rate. True if this shows that the later limits are
+    // in force.
+    bool record_rate_limit(Ms now) {
         if (lowered_ || next_.writes_per_s >= current_.writes_per_s) {
             return false;
         }
-        refusals_.push_back(now);
-        while (refusals_.front() + kWindow < now) {
-            refusals_.pop_front();
+        refused_at_.push_back(now);
+        while (refused_at_.front() + kWindow < now) {
+            refused_at_.pop_front();
         }
-        lowered_ = refusals_.size() >= kRefusalsToConfirm;
+        lowered_ = refused_at_.size() >= kRefusalsToConfirm;
         return lowered_;
     }
 
@@ -54,9 +57,11 @@
     static constexpr std::size_t kRefusalsToConfirm = 3;
     static constexpr Ms kWindow = 10000;
 
+    static std::size_t kilobytes(double count) { return static_cast<std::size_t>(count * 1024.0); }
+
     StoreLimits current_;
     StoreLimits next_;
-    std::deque<Ms> refusals_;
+    std::deque<Ms> refused_at_;
     bool lowered_ = false;
 };
 
--- a/src/coordination/store/store_replica.cpp
+++ b/src/coordination/store/store_replica.cpp
@@ -5,72 +5,102 @@
 namespace walkford {
 
 namespace {
-bool starts(const std::string& key, const std::string& prefix) {
+bool starts_with(const std::string& key, const std::string& prefix) {
     return key.compare(0, prefix.size(), prefix) == 0;
 }
+
+// Sets or erases one value of a map by a row; false for a row that is not newer than the value.
+template <typename Key>
+bool apply_value(std::map<Key, StoredValue>& values, const Key& key, const StoreEntry& row) {
+    auto known = values.find(key);
+    if (known != values.end() && row.version <= known->second.version) {
+        return false;
+    }
+    if (row.value) {
+        values[key] = {*row.value, row.version};
+    } else if (known != values.end()) {
+        values.erase(known);
+    }
+    return true;
+}
+
+// Of a placement record: "d" lists ranges of done tasks, first and last in turn.
+std::uint32_t done_tasks(const Json& record) {
+    std::uint32_t count = 0;
+    if (auto ranges = record.find("d"); ranges != record.end()) {
+        for (std::size_t i = 0; i + 1 < ranges->size(); i += 2) {
+            auto first = (*ranges)[i].get<std::uint32_t>();
+            auto last = (*ranges)[i + 1].get<std::uint32_t>();
+            count += last - first + 1;
+        }
+    }
+    return count;
+}
+
+// Of a placement record: "m" lists for each machine its tasks, two numbers a task.
+std::uint32_t running_tasks(const Json& record) {
+    std::uint32_t count = 0;
+    if (auto machines = record.find("m"); machines != record.end()) {
+        for (const Json& tasks : *machines) {
+            count += static_cast<std::uint32_t>(tasks.size() / 2);
+        }
+    }
+    return count;
+}
 }  // namespace
 
-// Changes reach a node by two ways (a watch and a reading); an old one must not undo a newer drop.
-bool StoreReplica::newer(const std::string& key, std::uint64_t version) {
-    auto it = dropped_.find(key);
-    return it == dropped_.end() || it->second < version;
+// Changes arrive by two paths (watch and snapshot); an old one must not undo a newer deletion.
+bool StoreReplica::superseded_by_deletion(const StoreEntry& row) const {
+    auto deletion = deletions_.find(row.key);
+    return deletion != deletions_.end() && deletion->second >= row.version;
+}
+
+void StoreReplica::remember_deletion(const StoreEntry& row) {
+    if (deletions_.emplace(row.key, row.version).second) {
+        deletion_order_.push_back(row.key);
+    } else {
+        deletions_[row.key] = row.version;
+    }
+    while (deletion_order_.size() > kMaxDeletions) {
+        deletions_.erase(deletion_order_.front());
+        deletion_order_.pop_front();
+    }
 }
 
 bool StoreReplica::apply(const StoreEntry& row) {
     const std::string& key = row.key;
-    if (reading_ && row.value) {
-        seen_.insert(key);
+    if (loading_snapshot_ && row.value) {
+        snapshot_keys_.insert(key);
     }
-    if (!newer(key, row.version)) {
+    if (superseded_by_deletion(row)) {
         return false;
     }
     if (!row.value) {
-        if (dropped_.emplace(key, row.version).second) {
-            dropped_order_.push_back(key);
-        } else {
-            dropped_[key] = row.version;
-        }
-        while (dropped_order_.size() > 4096) {
-            dropped_.erase(dropped_order_.front());
-            dropped_order_.pop_front();
-        }
+        remember_deletion(row);
     }
-    auto singleton = [&](std::optional<Json>& slot, std::uint64_t& version) {
-        if (row.version <= version) {
-            return false;
-        }
-        slot = row.value;
-        version = row.value ? row.version : 0;
-        return true;
-    };
     if (key == keys::kLeader) {
-        if (row.version <= leader_version) {
-            return false;
-        }
-        leader = row.value ? decode_leader(*row.value) : std::nullopt;
-        leader_version = leader ? row.version : 0;
-        return true;
+        return apply_leader(row);
     }
     if (key == keys::kMachineTypes) {
-        return singleton(machine_types, machine_types_version);
+        return apply_machine_types(row);
     }
-    if (starts(key, keys::kJobs)) {
+    if (starts_with(key, keys::kJobs)) {
         return apply_job(row);
     }
-    if (starts(key, keys::kEnded)) {
+    if (starts_with(key, keys::kEnded)) {
         return apply_ended(row);
     }
-    if (starts(key, keys::kRelays)) {
+    if (starts_with(key, keys::kRelays)) {
         return apply_relay(row);
     }
-    if (starts(key, keys::kAnnouncements)) {
+    if (starts_with(key, keys::kAnnouncements)) {
         return apply_announcement(row);
     }
-    if (starts(key, keys::kZoneRecords)) {
-        return apply_zone_record(row);
+    if (starts_with(key, keys::kZoneRecords)) {
+        return apply_value(zone_records, key.substr(keys::kZoneRecords.size()), row);
     }
     if (auto part = keys::parse_registry_part(key)) {
-        return apply_registry_part(row, *part);
+        return apply_value(registry_parts, *part, row);
     }
     if (auto parsed = keys::parse_placement_record(key)) {
         return apply_placement_record(row, parsed->first, parsed->second);
@@ -78,27 +108,45 @@
     return false;
 }
 
+bool StoreReplica::apply_leader(const StoreEntry& row) {
+    if (row.version <= leader_version) {
+        return false;
+    }
+    leader = row.value ? decode_leader(*row.value) : std::nullopt;
+    leader_version = leader ? row.version : 0;
+    return true;
+}
+
+bool StoreReplica::apply_machine_types(const StoreEntry& row) {
+    if (row.version <= machine_types_version) {
+        return false;
+    }
+    machine_types = row.value;
+    machine_types_version = row.value ? row.version : 0;
+    return true;
+}
+
 bool StoreReplica::apply_job(const StoreEntry& row) {
-    std::string id = row.key.substr(keys::kJobs.size());
-    auto it = jobs_.find(id);
-    if (it != jobs_.end() && row.version <= it->second.version) {
+    std::string job_id = row.key.substr(keys::kJobs.size());
+    auto known = jobs_.find(job_id);
+    if (known != jobs_.end() && row.version <= known->second.version) {
         return false;
     }
     if (!row.value) {
-        if (it != jobs_.end()) {
-            jobs_.erase(it);
+        if (known != jobs_.end()) {
+            jobs_.erase(known);
         }
         return true;
     }
-    auto record = decode_job(id, *row.value, names_);
+    auto record = decode_job(job_id, *row.value, names_);
     if (!record) {
         return false;
     }
-    if (it == jobs_.end()) {
-        jobs_.emplace(id, StoredJob{std::move(*record), row.version, row.version});
+    if (known == jobs_.end()) {
+        jobs_.emplace(job_id, StoredJob{std::move(*record), row.version, row.version});
     } else {
-        it->second.record = std::move(*record);
-        it->second.version = row.version;
+        known->second.record = std::move(*record);
+        known->second.version = row.version;
     }
     return true;
 }
@@ -115,19 +163,6 @@
     return true;
 }
 
-bool StoreReplica::apply_registry_part(const StoreEntry& row, std::uint32_t part) {
-    auto it = registry_parts.find(part);
-    if (it != registry_parts.end() && row.version <= it->second.version) {
-        return false;
-    }
-    if (row.value) {
-        registry_parts[part] = {*row.value, row.version};
-    } else if (it != registry_parts.end()) {
-        registry_parts.erase(it);
-    }
-    return true;
-}
-
 bool StoreReplica::apply_relay(const StoreEntry& row) {
     std::string controller = row.key.substr(keys::kRelays.size());
     auto known = relays.find(controller);
@@ -146,20 +181,6 @@
     return true;
 }
 
-bool StoreReplica::apply_zone_record(const StoreEntry& row) {
-    std::string zone = row.key.substr(keys::kZoneRecords.size());
-    auto known = zone_records.find(zone);
-    if (known != zone_records.end() && row.version <= known->second.version) {
-        return false;
-    }
-    if (row.value) {
-        zone_records[zone] = {*row.value, row.version};
-    } else if (known != zone_records.end()) {
-        zone_records.erase(known);
-    }
-    return true;
-}
-
 void StoreReplica::count_relay_change(const Relay& relay) {
     if (relay.record) {
         ++relay_changes_[relay.record->zone];
@@ -176,8 +197,8 @@
 }
 
 std::uint64_t StoreReplica::relay_changes(const std::string& zone) const {
-    auto it = relay_changes_.find(zone);
-    return relay_changes_anywhere_ + (it == relay_changes_.end() ? 0 : it->second);
+    auto changes = relay_changes_.find(zone);
+    return relay_changes_anywhere_ + (changes == relay_changes_.end() ? 0 : changes->second);
 }
 
 bool StoreReplica::apply_announcement(const StoreEntry& row) {
@@ -190,147 +211,124 @@
     return true;
 }
 
-bool StoreReplica::apply_placement_record(const StoreEntry& row, const std::string& id,
+bool StoreReplica::apply_placement_record(const StoreEntry& row, const std::string& job_id,
                                           std::uint32_t index) {
-    auto& list = placement_records_[id];
-    auto it = list.find(index);
-    if (it != list.end() && row.version <= it->second.version) {
-        return false;
-    }
-    if (row.value) {
-        list[index] = StoredValue{*row.value, row.version};
-    } else {
-        list.erase(index);
-    }
-    if (list.empty()) {
-        placement_records_.erase(id);
+    auto& records = placement_records_[job_id];
+    bool changed = apply_value(records, index, row);
+    if (changed && records.empty()) {
+        placement_records_.erase(job_id);
     }
-    return true;
+    return changed;
 }
 
-void StoreReplica::begin_reading() {
-    reading_ = true;
-    seen_.clear();
-    ++relay_changes_anywhere_;  // a reading leaves no trace of records that have come and gone
+void StoreReplica::begin_snapshot() {
+    loading_snapshot_ = true;
+    snapshot_keys_.clear();
+    ++relay_changes_anywhere_;  // a snapshot shows no trace of records that have come and gone
 }
 
-void StoreReplica::end_reading(std::uint64_t revision) {
-    reading_ = false;
-    std::vector<std::string> gone;
-    for (const auto& [id, job] : jobs_) {
-        if (job.version <= revision && !seen_.count(keys::job(id))) {
-            gone.push_back(keys::job(id));
-        }
+void StoreReplica::end_snapshot(std::uint64_t revision) {
+    loading_snapshot_ = false;
+    std::vector<std::string> missing = keys_missing_in_snapshot(revision);
+    snapshot_keys_.clear();
+    for (const std::string& key : missing) {
+        erase_missing(key);
     }
-    for (const auto& [id, list] : placement_records_) {
-        for (const auto& [index, record] : list) {
-            std::string key = keys::placement_record(id, index);
-            if (record.version <= revision && !seen_.count(key)) {
-                gone.push_back(key);
+    advance(revision);
+}
+
+// What is newer than the snapshot came by the watch, and need not be in it.
+std::vector<std::string> StoreReplica::keys_missing_in_snapshot(std::uint64_t revision) const {
+    std::vector<std::string> missing;
+    auto collect = [&](const auto& entries, const auto& key_of) {
+        for (const auto& [id, entry] : entries) {
+            if (entry.version > revision) {
+                continue;
+            }
+            std::string key = key_of(id);
+            if (!snapshot_keys_.count(key)) {
+                missing.push_back(std::move(key));
             }
         }
-    }
-    for (const auto& [part, held] : registry_parts) {
-        std::string key = keys::registry_part(part);
-        if (held.version <= revision && !seen_.count(key)) {
-            gone.push_back(key);
-        }
-    }
-    for (const auto& [controller, relay] : relays) {
-        std::string key = keys::relay(controller);
-        if (relay.version <= revision && !seen_.count(key)) {
-            gone.push_back(key);
-        }
-    }
-    for (const auto& [zone, record] : zone_records) {
-        std::string key = keys::zone_record(zone);
-        if (record.version <= revision && !seen_.count(key)) {
-            gone.push_back(key);
-        }
-    }
-    if (leader_version && leader_version <= revision && !seen_.count(keys::kLeader)) {
-        gone.push_back(keys::kLeader);
-    }
-    seen_.clear();
-    for (const std::string& key : gone) {
-        drop_unread(key);
-    }
-    advance(revision);
+    };
+    collect(jobs_, keys::job);
+    for (const auto& [job_id, records] : placement_records_) {
+        const std::string& id = job_id;
+        collect(records, [&](std::uint32_t index) { return keys::placement_record(id, index); });
+    }
+    collect(registry_parts, keys::registry_part);
+    collect(relays, keys::relay);
+    collect(zone_records, keys::zone_record);
+    if (leader_version && leader_version <= revision && !snapshot_keys_.count(keys::kLeader)) {
+        missing.push_back(keys::kLeader);
+    }
+    return missing;
 }
 
-// A key that a full reading did not find any more.
-void StoreReplica::drop_unread(const std::string& key) {
+void StoreReplica::erase_missing(const std::string& key) {
     if (key == keys::kLeader) {
         leader.reset();
         leader_version = 0;
-    } else if (starts(key, keys::kJobs)) {
+    } else if (starts_with(key, keys::kJobs)) {
         jobs_.erase(key.substr(keys::kJobs.size()));
-    } else if (starts(key, keys::kRelays)) {
+    } else if (starts_with(key, keys::kRelays)) {
         relays.erase(key.substr(keys::kRelays.size()));
         ++relay_changes_anywhere_;
-    } else if (starts(key, keys::kZoneRecords)) {
+    } else if (starts_with(key, keys::kZoneRecords)) {
         zone_records.erase(key.substr(keys::kZoneRecords.size()));
     } else if (auto part = keys::parse_registry_part(key)) {
         registry_parts.erase(*part);
     } else if (auto parsed = keys::parse_placement_record(key)) {
-        auto it = placement_records_.find(parsed->first);
-        if (it == placement_records_.end()) {
+        auto records = placement_records_.find(parsed->first);
+        if (records == placement_records_.end()) {
             return;
         }
-        it->second.erase(parsed->second);
-        if (it->second.empty()) {
-            placement_records_.erase(it);
+        records->second.erase(parsed->second);
+        if (records->second.empty()) {
+            placement_records_.erase(records);
         }
     }
 }
 
-const StoredJob* StoreReplica::job(const std::string& id) const {
-    auto it = jobs_.find(id);
-    return it == jobs_.end() ? nullptr : &it->second;
+const StoredJob* StoreReplica::job(const std::string& job_id) const {
+    auto entry = jobs_.find(job_id);
+    return entry == jobs_.end() ? nullptr : &entry->second;
 }
 
 const std::map<std::uint32_t, StoredValue>* StoreReplica::placement_records(
-    const std::string& id) const {
-    auto it = placement_records_.find(id);
-    return it == placement_records_.end() ? nullptr : &it->second;
+    const std::string& job_id) const {
+    auto entry = placement_records_.find(job_id);
+    return entry == placement_records_.end() ? nullptr : &entry->second;
 }
 
-std::optional<EndedRecord> StoreReplica::ended(const std::string& id) const {
-    auto it = ended_.find(id);
-    if (it == ended_.end()) {
+std::optional<EndedRecord> StoreReplica::ended(const std::string& job_id) const {
+    auto entry = ended_.find(job_id);
+    if (entry == ended_.end()) {
         return std::nullopt;
     }
-    return it->second;
+    return entry->second;
 }
 
-void StoreReplica::remember_ended(const std::string& id, const EndedRecord& record) {
-    if (!ended_.emplace(id, record).second) {
+void StoreReplica::remember_ended(const std::string& job_id, const EndedRecord& record) {
+    if (!ended_.emplace(job_id, record).second) {
         return;  // an ended job never changes again
     }
-    ended_order_.push_back(id);
-    if (ended_order_.size() > kEndedKept) {
+    ended_order_.push_back(job_id);
+    if (ended_order_.size() > kMaxEndedJobs) {
         ended_.erase(ended_order_.front());
         ended_order_.pop_front();
     }
 }
 
-StoreReplica::Counts StoreReplica::counts(const std::string& id) const {
+StoreReplica::Counts StoreReplica::counts(const std::string& job_id) const {
     Counts counts;
-    const auto* list = placement_records(id);
-    if (!list) {
+    const auto* records = placement_records(job_id);
+    if (!records) {
         return counts;
     }
-    for (const auto& [index, record] : *list) {
-        if (auto d = record.value.find("d"); d != record.value.end()) {
-            for (std::size_t i = 0; i + 1 < d->size(); i += 2) {
-                counts.done += (*d)[i + 1].get<std::uint32_t>() - (*d)[i].get<std::uint32_t>() + 1;
-            }
-        }
-        if (auto m = record.value.find("m"); m != record.value.end()) {
-            for (const Json& tasks : *m) {
-                counts.running += static_cast<std::uint32_t>(tasks.size() / 2);
-            }
-        }
+    for (const auto& [index, record] : *records) {
+        counts.done += done_tasks(record.value);
+        counts.running += running_tasks(record.value);
     }
     return counts;
 }
--- a/src/coordination/store/store_watcher.cpp
+++ b/src/coordination/store/store_watcher.cpp
@@ -2,178 +2,202 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+#include <array>
+#include <utility>
+
 namespace walkford {
 
 namespace {
-// Ended jobs are not read at the start: they are looked up when asked for.
-const std::array<std::string, 9>& reading_prefixes() {
+// Ended jobs are not part of the snapshot: they are looked up when asked for.
+const std::array<std::string, 9>& snapshot_prefixes() {
     static const std::array<std::string, 9> prefixes{
         keys::kLeader,       keys::kRegistry,      keys::kRegistryParts,
         keys::kMachineTypes, keys::kAnnouncements, keys::kRelays,
         keys::kZoneRecords,  keys::kJobs,          keys::kTasks};
     return prefixes;
 }
-constexpr Ms kWatchFor = 20000;
-// Readings count as requests; several users share one.
+constexpr Ms kWatchTimeout = 20000;
+// Barriers count as requests: callers within this span share one.
 constexpr Ms kBarrierSpacing = 25;
+// Delays before a retry; as much again is added at random.
+constexpr Ms kSnapshotRetry = 200;
+constexpr Ms kWatchRetry = 250;
 }  // namespace
 
 void StoreWatcher::tick(Ms now) {
-    if (!ready_ && !reading_ && now >= read_at_) {
-        start_reading(now);
+    if (!ready_ && !loading_snapshot_ && now >= snapshot_at_) {
+        start_snapshot();
     }
     if (ready_ && !watching_ && now >= watch_at_) {
-        watch(now);
+        watch();
     }
-    if (ready_ && !barrier_open_ && !waiting_.empty() && now >= barrier_sent_ + kBarrierSpacing) {
+    if (ready_ && !barrier_open_ && !waiting_.empty() &&
+        now >= barrier_sent_at_ + kBarrierSpacing) {
         start_barrier(now);
     }
 }
 
 Ms StoreWatcher::due() const {
     if (!ready_) {
-        return reading_ ? kNever : read_at_;
+        return loading_snapshot_ ? kNever : snapshot_at_;
     }
     Ms due = watching_ ? kNever : watch_at_;
     if (!waiting_.empty() && !barrier_open_) {
-        due = std::min(due, barrier_sent_ + kBarrierSpacing);
+        due = std::min(due, barrier_sent_at_ + kBarrierSpacing);
     }
     return due;
 }
 
-void StoreWatcher::start_reading(Ms now) {
-    reading_ = true;
+void StoreWatcher::start_snapshot() {
+    loading_snapshot_ = true;
     ready_ = false;
     watching_ = false;
-    ++readings_;
-    read_prefix_ = 0;
-    read_after_.clear();
-    read_revision_.reset();
-    replica_.begin_reading();
-    read_next(now);
+    ++snapshots_;
+    page_prefix_ = 0;
+    page_after_.clear();
+    snapshot_revision_.reset();
+    replica_.begin_snapshot();
+    request_page();
 }
 
-void StoreWatcher::read_next(Ms) {
+void StoreWatcher::request_page() {
     client_.list(
-        reading_prefixes().at(read_prefix_), read_after_,
-        [this](Ms now, const StoreResponse& r) {
-            if (r.status != StoreStatus::ok) {
-                reading_ = false;
-                read_at_ = now + 200 + jitter_(200);
-                return;
-            }
-            // Pages are read one after the other; changes are followed from before the first.
-            // (Revision 0 is a good one: taken for "none yet", it once hid the very first change,
-            // the leader's key, from nodes that had read an empty store.)
-            if (!read_revision_) {
-                read_revision_ = r.revision;
-            }
-            for (const StoreEntry& row : r.rows) {
-                replica_.apply(row);
-            }
-            if (r.more && !r.rows.empty()) {
-                read_after_ = r.rows.back().key;
-            } else {
-                read_after_.clear();
-                ++read_prefix_;
-            }
-            if (read_prefix_ < reading_prefixes().size()) {
-                read_next(now);
-                return;
-            }
-            replica_.end_reading(*read_revision_);
-            reading_ = false;
-            ready_ = true;
-            spdlog::info("state read: {} live jobs, revision {}", replica_.jobs().size(),
-                         replica_.revision());
-            if (on_change) {
-                on_change(now, "");
-            }
-            watch(now);
-        },
-        out_);
+        snapshot_prefixes().at(page_prefix_), page_after_,
+        [this](Ms now, const StoreResponse& response) { on_page(now, response); }, out_);
+}
+
+void StoreWatcher::on_page(Ms now, const StoreResponse& response) {
+    if (response.status != StoreStatus::ok) {
+        loading_snapshot_ = false;
+        snapshot_at_ = now + kSnapshotRetry + jitter_(kSnapshotRetry);
+        return;
+    }
+    // Pages are read one after the other; changes are followed from before the first. (Revision 0
+    // is valid: taken for "none yet", it once hid the very first change, the leader's key, from
+    // controllers that had read an empty store.)
+    if (!snapshot_revision_) {
+        snapshot_revision_ = response.revision;
+    }
+    for (const StoreEntry& row : response.rows) {
+        replica_.apply(row);
+    }
+    if (response.more && !response.rows.empty()) {
+        page_after_ = response.rows.back().key;
+    } else {
+        page_after_.clear();
+        ++page_prefix_;
+    }
+    if (page_prefix_ < snapshot_prefixes().size()) {
+        request_page();
+    } else {
+        finish_snapshot(now);
+    }
+}
+
+void StoreWatcher::finish_snapshot(Ms now) {
+    replica_.end_snapshot(*snapshot_revision_);
+    loading_snapshot_ = false;
+    ready_ = true;
+    spdlog::info("state read: {} live jobs, revision {}", replica_.jobs().size(),
+                 replica_.revision());
+    if (on_change) {
+        on_change(now, "");
+    }
+    watch();
 }
 
-void StoreWatcher::apply(Ms now, const StoreResponse& r) {
-    std::vector<std::string> changed;
-    for (const StoreEntry& row : r.rows) {
+void StoreWatcher::apply(Ms now, const StoreResponse& response) {
+    std::vector<std::string> changed_keys;
+    for (const StoreEntry& row : response.rows) {
         if (replica_.apply(row)) {
-            changed.push_back(row.key);
+            changed_keys.push_back(row.key);
         }
     }
-    replica_.advance(r.revision);
+    replica_.advance(response.revision);
     if (!on_change) {
         return;
     }
-    for (const std::string& key : changed) {
+    for (const std::string& key : changed_keys) {
         on_change(now, key);
     }
 }
 
-void StoreWatcher::watch(Ms) {
+void StoreWatcher::watch() {
     watching_ = true;
     client_.changes(
-        replica_.revision(), kWatchFor,
-        [this, reading = readings_](Ms now, const StoreResponse& r) {
-            if (reading != readings_) {
-                return;
-            }
-            watching_ = false;
-            watch_at_ = now + watch_spacing_;
-            if (r.status == StoreStatus::ok) {
-                apply(now, r);
-            } else if (r.status == StoreStatus::compacted) {
-                spdlog::info("changes too old, reading the state again");
-                ready_ = false;
-                read_at_ = now;
-                fail_waiting(now);
-            } else {
-                watch_at_ = now + 250 + jitter_(250);
-            }
+        replica_.revision(), kWatchTimeout,
+        [this, snapshot = snapshots_](Ms now, const StoreResponse& response) {
+            on_watched(now, response, snapshot);
         },
         out_);
 }
 
+void StoreWatcher::on_watched(Ms now, const StoreResponse& response, std::uint64_t snapshot) {
+    if (snapshot != snapshots_) {
+        return;
+    }
+    watching_ = false;
+    watch_at_ = now + watch_spacing_;
+    if (response.status == StoreStatus::ok) {
+        apply(now, response);
+    } else if (response.status == StoreStatus::compacted) {
+        spdlog::info("changes compacted, reading the state again");
+        ready_ = false;
+        snapshot_at_ = now;
+        run_callbacks(now, std::exchange(waiting_, {}), false);
+    } else {
+        watch_at_ = now + kWatchRetry + jitter_(kWatchRetry);
+    }
+}
+
 void StoreWatcher::barrier(Ms now, BarrierCallback then) {
     if (!ready_) {
         then(now, false);
         return;
     }
     waiting_.push_back(std::move(then));
-    if (!barrier_open_ && now >= barrier_sent_ + kBarrierSpacing) {
+    if (!barrier_open_ && now >= barrier_sent_at_ + kBarrierSpacing) {
         start_barrier(now);
     }
 }
 
 void StoreWatcher::start_barrier(Ms now) {
     barrier_open_ = true;
-    barrier_sent_ = now;
-    auto served = std::make_shared<std::vector<BarrierCallback>>(std::move(waiting_));
-    waiting_.clear();
+    barrier_sent_at_ = now;
+    // Shared, as a std::function must be copyable.
+    auto served = std::make_shared<std::vector<BarrierCallback>>(std::exchange(waiting_, {}));
     client_.changes(
         replica_.revision(), 0,
-        [this, served, sent = now, reading = readings_](Ms at, const StoreResponse& r) {
-            barrier_open_ = false;
-            bool ok = r.status == StoreStatus::ok && ready_ && reading == readings_;
-            if (ok) {
-                apply(at, r);
-                confirmed_at_ = std::max(confirmed_at_, sent);
-            } else if (r.status == StoreStatus::compacted && ready_ && reading == readings_) {
-                ready_ = false;
-                read_at_ = at;
-            }
-            for (BarrierCallback& then : *served) {
-                then(at, ok);
-            }
+        [this, served, sent_at = now, snapshot = snapshots_](Ms at, const StoreResponse& response) {
+            bool confirmed = on_barrier_read(at, sent_at, response, snapshot);
+            run_callbacks(at, *served, confirmed);
         },
         out_);
 }
 
-void StoreWatcher::fail_waiting(Ms now) {
-    auto served = std::move(waiting_);
-    waiting_.clear();
-    for (BarrierCallback& then : served) {
-        then(now, false);
+bool StoreWatcher::on_barrier_read(Ms now, Ms sent_at, const StoreResponse& response,
+                                   std::uint64_t snapshot) {
+    barrier_open_ = false;
+    if (!ready_ || snapshot != snapshots_) {
+        return false;
+    }
+    if (response.status == StoreStatus::ok) {
+        apply(now, response);
+        confirmed_at_ = std::max(confirmed_at_, sent_at);
+        return true;
+    }
+    if (response.status == StoreStatus::compacted) {
+        ready_ = false;
+        snapshot_at_ = now;
+    }
+    return false;
+}
+
+void StoreWatcher::run_callbacks(Ms now, const std::vector<BarrierCallback>& callbacks,
+                                 bool confirmed) {
+    for (const BarrierCallback& callback : callbacks) {
+        callback(now, confirmed);
     }
 }
 
