--- a/src/bookkeeping/free_capacity.hpp
+++ b/src/bookkeeping/free_capacity.hpp
@@ -1,7 +1,7 @@
-// The free room of the machines that may be given work, as a round of placing sees it: by sort
-// (kind, zone, spot or not), small enough to be looked through for every job that waits. With two
-// thousand machines and hundreds of waiting jobs, a look at the cluster state for each pair took
-// seconds.
+// The free capacity of the schedulable machines, as a round of placement sees it: grouped by
+// machine type, zone and price model, small enough to be looked through for every job that waits.
+// With two thousand machines and hundreds of waiting jobs, a look at the cluster state for each
+// pair took seconds.
 #pragma once
 
 #include <vector>
@@ -10,70 +10,97 @@
 
 namespace walkford {
 
+// What machines of one group have in common. Groups are numbered in the order of their first
+// machine, not by this key.
+struct MachineGroupKey {
+    Id machine_type = kNone;
+    Id zone = kNone;
+    bool spot = false;
+    auto operator<=>(const MachineGroupKey&) const = default;
+};
+
+// A copy of what the machines have free. Built at the beginning of a round; whoever assigns a task
+// to a machine, or takes one off it, calls update().
 class FreeCapacity {
   public:
+    // What one machine has free.
     struct MachineCapacity {
         Id machine = kNone;
         Resources free;
-        bool failing = false;  // something failed there lately
+        bool recently_failed = false;  // tasks failed there since its last success
     };
+    // Schedulable machines of one machine type, zone and price model.
     struct MachineGroup {
         Id machine_type = kNone;
         Id zone = kNone;
         bool spot = false;
-        Resources size;
-        Resources most;  // of each resource, the most that any of them has free; may be too much
+        Resources size;  // of each machine
+        // Of each resource, an upper bound of what any of the machines has free.
+        Resources largest_free;
         std::vector<MachineCapacity> machines;
     };
 
+    // Starts anew with the machines named, in that order.
     void build(const ClusterState& cluster, const std::vector<Id>& schedulable) {
         groups_.clear();
-        where_.assign(cluster.machines.size(), {kNone, kNone});
-        std::map<std::tuple<Id, Id, bool>, std::size_t> index;
+        positions_.assign(cluster.machines.size(), {});
+        std::map<MachineGroupKey, Id> group_indices;
         for (Id id : schedulable) {
-            const Machine& m = cluster.machines[id];
-            const MachineType* machine_type = cluster.machine_type(m.machine_type);
+            const Machine& machine = cluster.machines[id];
+            const MachineType* machine_type = cluster.machine_type(machine.machine_type);
             if (!machine_type) {
                 continue;
             }
-            auto [it, fresh] = index.try_emplace({m.machine_type, m.zone, m.spot}, groups_.size());
-            if (fresh) {
-                groups_.push_back({m.machine_type, m.zone, m.spot, machine_type->size, {}, {}});
+            auto [index, inserted] =
+                group_indices.try_emplace({machine.machine_type, machine.zone, machine.spot},
+                                          static_cast<Id>(groups_.size()));
+            if (inserted) {
+                groups_.push_back(
+                    {machine.machine_type, machine.zone, machine.spot, machine_type->size, {}, {}});
             }
-            MachineGroup& machine_group = groups_[it->second];
-            where_[id] = {static_cast<Id>(it->second),
-                          static_cast<Id>(machine_group.machines.size())};
-            machine_group.machines.push_back(
-                {id, machine_type->size - m.used, m.health.failures() > 0});
-            raise(machine_group.most, machine_group.machines.back().free);
+            MachineGroup& group = groups_[index->second];
+            positions_[id] = {index->second, static_cast<Id>(group.machines.size())};
+            group.machines.push_back(
+                {id, machine_type->size - machine.used, machine.health.failures() > 0});
+            raise(group.largest_free, group.machines.back().free);
         }
     }
-    // The machine's cluster have changed.
+
+    // Reads again what the machine has free; nothing happens if it isn't among them.
     void update(const ClusterState& cluster, Id machine) {
-        auto [s, r] = where_.at(machine);
-        if (s == kNone) {
+        const Position& position = positions_.at(machine);
+        if (position.group == kNone) {
             return;
         }
-        MachineGroup& machine_group = groups_[s];
-        MachineCapacity& capacity = machine_group.machines[r];
-        capacity.free = machine_group.size - cluster.machines[machine].used;
-        raise(machine_group.most, capacity.free);
+        MachineGroup& group = groups_[position.group];
+        MachineCapacity& capacity = group.machines[position.index];
+        capacity.free = group.size - cluster.machines[machine].used;
+        raise(group.largest_free, capacity.free);
     }
+
+    // The groups, in the order of their first machine.
     const std::vector<MachineGroup>& groups() const { return groups_; }
 
-    // Could a task of this job be on such a machine, were it empty?
-    static bool allowed(const JobSpec& s, const MachineGroup& machine_group) {
-        return s.allows_machine_type(machine_group.machine_type) &&
-               (s.zone == kNone || s.zone == machine_group.zone) && (s.spot || !machine_group.spot);
+    // Whether the job's constraints allow a machine of the group, were it empty.
+    static bool allowed(const JobSpec& spec, const MachineGroup& group) {
+        return spec.allows_machine_type(group.machine_type) &&
+               (spec.zone == kNone || spec.zone == group.zone) && (spec.spot || !group.spot);
     }
 
   private:
-    static void raise(Resources& most, const Resources& free) {
-        most = {std::max(most.cpus, free.cpus), std::max(most.gpus, free.gpus),
-                std::max(most.ram, free.ram)};
+    // Where a machine stands in groups_.
+    struct Position {
+        Id group = kNone;  // kNone: it isn't among the schedulable machines
+        Id index = kNone;
+    };
+
+    static void raise(Resources& bound, const Resources& free) {
+        bound = {std::max(bound.cpus, free.cpus), std::max(bound.gpus, free.gpus),
+                 std::max(bound.ram, free.ram)};
     }
+
     std::vector<MachineGroup> groups_;
-    std::vector<std::pair<Id, Id>> where_;
+    std::vector<Position> positions_;  // by machine
 };
 
 }  // namespace walkford
--- a/src/coordination/placement/class_capacity.cpp
+++ b/src/coordination/placement/class_capacity.cpp
@@ -7,133 +7,142 @@
 namespace walkford {
 
 namespace {
-constexpr Ms kShapeKept = 600000;  // a class not seen for so long is not kept room for
+constexpr Ms kProfileLifetime = 600000;  // no slots are kept for a class not seen for so long
+constexpr double kNoObjectiveS = 1e18;
+constexpr double kUnlimitedSlots = 1e9;
+
+std::uint32_t slots_on(const JobSpec& spec, const FreeCapacity::MachineGroup& group,
+                       const Resources& free) {
+    return ClusterState::slots(spec, group.machine_type, group.zone, group.spot, free);
 }
+}  // namespace
 
-void ClassCapacity::count(Ms now, const FreeCapacity& free_capacity) {
+void ClassCapacity::count_free_slots(Ms now, const FreeCapacity& free_capacity) {
     const ClusterState& cluster = context_.cluster;
-    free_slots_.assign(cluster.job_class_profiles.size(), 0);
-    start_objectives_s_.assign(cluster.job_class_profiles.size(), 1e18);
     registered_groups_.clear();
-    for (const Machine& m : cluster.machines) {
-        if (m.registered && !m.terminated) {
-            registered_groups_.insert({m.machine_type, m.zone, m.spot});
+    for (const Machine& machine : cluster.machines) {
+        if (machine.registered && !machine.terminated) {
+            registered_groups_.insert({machine.machine_type, machine.zone, machine.spot});
         }
     }
-    for (std::size_t i = 0; i < cluster.job_class_profiles.size(); ++i) {
-        const JobClassProfile& shape = cluster.job_class_profiles[i];
-        for (const StartLatencyObjective& objective :
-             context_.controller.platform_settings.start_latency_objectives) {
-            if (cluster.names.job_classes.find(objective.job_class) == shape.job_class) {
-                start_objectives_s_[i] = std::min(start_objectives_s_[i], objective.within_s);
-            }
+    std::size_t classes = cluster.job_class_profiles.size();
+    free_slots_.assign(classes, 0);
+    start_objectives_s_.assign(classes, kNoObjectiveS);
+    for (std::size_t i = 0; i < classes; ++i) {
+        const JobClassProfile& profile = cluster.job_class_profiles[i];
+        start_objectives_s_[i] = tightest_objective_s(profile.job_class);
+        bool expired = now > profile.seen + kProfileLifetime;
+        free_slots_[i] = expired ? kUnlimitedSlots : slots_in(profile.spec, free_capacity);
+    }
+}
+
+double ClassCapacity::tightest_objective_s(Id job_class) const {
+    double tightest = kNoObjectiveS;
+    for (const StartLatencyObjective& objective :
+         context_.controller.platform_settings.start_latency_objectives) {
+        if (context_.cluster.names.job_classes.find(objective.job_class) == job_class) {
+            tightest = std::min(tightest, objective.within_s);
         }
-        if (now > shape.seen + kShapeKept) {
-            free_slots_[i] = 1e9;
+    }
+    return tightest;
+}
+
+double ClassCapacity::slots_in(const JobSpec& spec, const FreeCapacity& free_capacity) {
+    double slots = 0;
+    for (const FreeCapacity::MachineGroup& group : free_capacity.groups()) {
+        if (!FreeCapacity::allowed(spec, group)) {
             continue;
         }
-        for (const FreeCapacity::MachineGroup& machine_group : free_capacity.groups()) {
-            if (!FreeCapacity::allowed(shape.spec, machine_group)) {
-                continue;
-            }
-            for (const FreeCapacity::MachineCapacity& capacity : machine_group.machines) {
-                free_slots_[i] +=
-                    ClusterState::slots(shape.spec, machine_group.machine_type, machine_group.zone,
-                                        machine_group.spot, capacity.free);
-            }
+        for (const FreeCapacity::MachineCapacity& capacity : group.machines) {
+            slots += slots_on(spec, group, capacity.free);
         }
     }
+    return slots;
 }
 
-double ClassCapacity::opportunity_cost(const Job& job,
-                                       const FreeCapacity::MachineGroup& machine_group,
+double ClassCapacity::opportunity_cost(const Job& job, const FreeCapacity::MachineGroup& group,
                                        const Resources& free) const {
     const ClusterState& cluster = context_.cluster;
-    double sum = 0;
+    double cost = 0;
     for (std::size_t i = 0; i < cluster.job_class_profiles.size(); ++i) {
-        const JobClassProfile& shape = cluster.job_class_profiles[i];
-        if (shape.job_class == job.spec.job_class || i >= free_slots_.size()) {
+        const JobClassProfile& profile = cluster.job_class_profiles[i];
+        if (profile.job_class == job.spec.job_class || i >= free_slots_.size()) {
             continue;
         }
-        auto before = ClusterState::slots(shape.spec, machine_group.machine_type,
-                                          machine_group.zone, machine_group.spot, free);
+        std::uint32_t before = slots_on(profile.spec, group, free);
         if (before == 0) {
             continue;
         }
-        auto after = ClusterState::slots(shape.spec, machine_group.machine_type, machine_group.zone,
-                                         machine_group.spot, free - job.spec.each);
-        sum += static_cast<double>(before - after) / std::max(1.0, free_slots_[i]);
+        std::uint32_t after = slots_on(profile.spec, group, free - job.spec.each);
+        cost += static_cast<double>(before - after) / std::max(1.0, free_slots_[i]);
     }
-    return sum;
+    return cost;
 }
 
-bool ClassCapacity::reserved_for_others(const Job& job,
-                                        const FreeCapacity::MachineGroup& machine_group,
+bool ClassCapacity::reserved_for_others(const Job& job, const FreeCapacity::MachineGroup& group,
                                         const Resources& free) const {
     const ClusterState& cluster = context_.cluster;
-    if (context_.controller.operator_settings.keep_slots == 0) {
+    std::uint32_t slots_to_keep = context_.controller.operator_settings.keep_slots;
+    if (slots_to_keep == 0) {
         return false;
     }
-    double own = start_objective_s(job.spec);
+    double own_objective_s = start_objective_s(job.spec);
     for (std::size_t i = 0; i < free_slots_.size(); ++i) {
         const JobSpec& other = cluster.job_class_profiles[i].spec;
         if (cluster.job_class_profiles[i].job_class == job.spec.job_class) {
             continue;
         }
-        double lost = ClusterState::slots(other, machine_group.machine_type, machine_group.zone,
-                                          machine_group.spot, free) -
-                      ClusterState::slots(other, machine_group.machine_type, machine_group.zone,
-                                          machine_group.spot, free - job.spec.each);
-        if (lost <= 0 ||
-            free_slots_[i] - lost >= context_.controller.operator_settings.keep_slots) {
+        double lost = slots_on(other, group, free) - slots_on(other, group, free - job.spec.each);
+        if (lost <= 0 || free_slots_[i] - lost >= slots_to_keep) {
             continue;
         }
-        // Only from those who have somewhere else to go; for those with a tighter aim, or who have
-        // not.
-        if (!elsewhere(job.spec, other)) {
+        // Slots are kept only from jobs that can run elsewhere; and for classes with a tighter
+        // objective, or that can't.
+        if (!can_run_elsewhere(job.spec, other)) {
             continue;
         }
-        if (start_objectives_s_[i] < own || !elsewhere(other, job.spec)) {
+        if (start_objectives_s_[i] < own_objective_s || !can_run_elsewhere(other, job.spec)) {
             return true;
         }
     }
     return false;
 }
 
-bool ClassCapacity::elsewhere(const JobSpec& one, const JobSpec& other) const {
-    const ClusterState& cluster = context_.cluster;
+bool ClassCapacity::can_run_elsewhere(const JobSpec& spec, const JobSpec& other) const {
     return std::any_of(
-        registered_groups_.begin(), registered_groups_.end(), [&](const auto& machine_group) {
-            const auto& [machine_type, zone, spot] = machine_group;
-            const MachineType* k = cluster.machine_type(machine_type);
-            return k && ClusterState::slots(one, machine_type, zone, spot, k->size) > 0 &&
-                   ClusterState::slots(other, machine_type, zone, spot, k->size) == 0;
+        registered_groups_.begin(), registered_groups_.end(), [&](const MachineGroupKey& group) {
+            const MachineType* machine_type = context_.cluster.machine_type(group.machine_type);
+            auto suits = [&](const JobSpec& candidate) {
+                return ClusterState::slots(candidate, group.machine_type, group.zone, group.spot,
+                                           machine_type->size) > 0;
+            };
+            return machine_type && suits(spec) && !suits(other);
         });
 }
 
-double ClassCapacity::start_objective_s(const JobSpec& s) const {
+double ClassCapacity::start_objective_s(const JobSpec& spec) const {
     for (std::size_t i = 0; i < start_objectives_s_.size(); ++i) {
-        if (context_.cluster.job_class_profiles[i].job_class == s.job_class) {
+        if (context_.cluster.job_class_profiles[i].job_class == spec.job_class) {
             return start_objectives_s_[i];
         }
     }
-    return 1e18;
+    return kNoObjectiveS;
 }
 
-// A task was placed on the machine: what is left for the classes.
-void ClassCapacity::take(const Machine& machine, const Resources& each) {
+void ClassCapacity::task_placed(const Machine& machine, const Resources& each) {
     const ClusterState& cluster = context_.cluster;
     const MachineType* machine_type = cluster.machine_type(machine.machine_type);
     if (!machine_type) {
         return;
     }
     Resources free = machine_type->size - machine.used;
+    auto slots = [&machine](const JobSpec& spec, const Resources& room) {
+        return ClusterState::slots(spec, machine.machine_type, machine.zone, machine.spot, room);
+    };
     for (std::size_t i = 0; i < free_slots_.size(); ++i) {
-        const JobSpec& s = cluster.job_class_profiles[i].spec;
-        free_slots_[i] -=
-            ClusterState::slots(s, machine.machine_type, machine.zone, machine.spot, free);
-        free_slots_[i] +=
-            ClusterState::slots(s, machine.machine_type, machine.zone, machine.spot, free - each);
+        const JobSpec& spec = cluster.job_class_profiles[i].spec;
+        free_slots_[i] -= slots(spec, free);
+        free_slots_[i] += slots(spec, free - each);
     }
 }
 
--- a/src/coordination/placement/gang_reservation.cpp
+++ b/src/coordination/placement/gang_reservation.cpp
@@ -5,229 +5,258 @@
 #include <algorithm>
 
 #include "coordination/leader/task_lifecycle.hpp"
+#include "coordination/placement/gang_zones.hpp"
+#include "coordination/placement/preemption.hpp"
 
 namespace walkford {
 
 namespace {
-constexpr Ms kKeepFor = 2500;  // renewed by every round that still finds the gang waiting
+constexpr Ms kReserveFor = 2500;  // renewed by every round that still finds the gang waiting
 // A plan looks at every task of every machine: the next for that gang waits as long as this one has
 // earned, on a small fleet not at all. (Plans a second old cost 0.12 of a busy day: what had become
-// free was kept for nobody, and what was kept was no longer needed.)
-constexpr std::size_t kLooksPerMs = 100;
-constexpr Ms kStopEvery = 1000;       // one gang at a time has work stopped for it
-constexpr Ms kWorthStopping = 10000;  // ... and only to start so much sooner
-constexpr Ms kServiceEnd = 86400000;  // a replica runs until its job is cancelled
-constexpr Ms kSameZone = 5000;        // a zone begun with is not left for less
+// free was reserved for nobody, and what was reserved was no longer needed.)
+constexpr std::size_t kExaminedTasksPerMs = 100;
+constexpr Ms kPreemptEvery = 1000;       // one gang at a time has tasks preempted for it
+constexpr Ms kWorthPreempting = 10000;   // ... and only to start so much sooner
+constexpr Ms kServiceEnd = 86400000;     // a replica runs until its job is cancelled
+constexpr Ms kReservedZoneBonus = 5000;  // a zone begun with is not left for less
+constexpr Ms kMinRemaining = 2000;       // of a task whose estimate is about to be over
 }  // namespace
 
 Ms GangReservation::expected_end(TaskRef ref, Ms now) const {
     const ClusterState& cluster = context_.cluster;
-    const JobSpec& s = cluster.jobs[ref.job].spec;
-    const Task& t = context_.cluster.task(ref);
-    if (t.stopping) {
+    const JobSpec& spec = cluster.jobs[ref.job].spec;
+    const Task& task = context_.cluster.task(ref);
+    if (task.stopping) {
         return now +
-               to_ms(s.checkpoint_duration_s + context_.controller.platform_settings.report_s);
+               to_ms(spec.checkpoint_duration_s + context_.controller.platform_settings.report_s);
     }
-    if (s.service()) {
+    if (spec.service()) {
         return now + kServiceEnd;
     }
-    Ms run = to_ms(s.estimate_s);
-    if (t.running_since < 0) {
+    Ms estimate = to_ms(spec.estimate_s);
+    if (task.running_since < 0) {
         const MachineType* machine_type =
-            cluster.machine_type(cluster.machines[t.machine].machine_type);
-        double fetch = machine_type && machine_type->fetch_gb_per_s > 0
-                           ? s.image_gb / machine_type->fetch_gb_per_s
-                           : 0;
-        return now + run + to_ms(fetch);
+            cluster.machine_type(cluster.machines[task.machine].machine_type);
+        double fetch_s = machine_type && machine_type->fetch_gb_per_s > 0
+                             ? spec.image_gb / machine_type->fetch_gb_per_s
+                             : 0;
+        return now + estimate + to_ms(fetch_s);
     }
     // Estimates are often wrong by half: one that has run longer than its own goes on for a while.
-    Ms ran = now - t.running_since;
-    return now + std::max({Ms{2000}, run - ran, ran > run ? ran / 3 : 0});
+    Ms ran = now - task.running_since;
+    return now + std::max({kMinRemaining, estimate - ran, ran > estimate ? ran / 3 : 0});
 }
 
-std::vector<std::pair<Ms, TaskRef>> GangReservation::ends(Ms now, Id job, Id machine,
-                                                          const MayPreempt* may_preempt) const {
+std::vector<GangReservation::TaskEnd> GangReservation::task_ends(
+    Ms now, Id job, Id machine, const MayPreempt* may_preempt) const {
     const ClusterState& cluster = context_.cluster;
-    std::vector<std::pair<Ms, TaskRef>> list;
-    looked_ += 1 + cluster.machines[machine].tasks.size();
+    std::vector<TaskEnd> ends;
+    examined_tasks_ += 1 + cluster.machines[machine].tasks.size();
     for (TaskRef ref : cluster.machines[machine].tasks) {
-        const Job& v = cluster.jobs[ref.job];
+        const Job& victim = cluster.jobs[ref.job];
         Ms end = expected_end(ref, now);
-        if (may_preempt && (*may_preempt)(v, cluster.jobs[job])) {
-            end = std::min(end, now + to_ms(v.spec.checkpoint_duration_s +
+        if (may_preempt && (*may_preempt)(victim, cluster.jobs[job])) {
+            end = std::min(end, now + to_ms(victim.spec.checkpoint_duration_s +
                                             2 * context_.controller.platform_settings.report_s));
         }
-        list.emplace_back(end, ref);
+        ends.push_back({end, ref});
     }
-    std::sort(list.begin(), list.end());
-    return list;
+    std::sort(ends.begin(), ends.end());
+    return ends;
 }
 
-std::optional<GangReservation::Plan> GangReservation::plan(Ms now, Id id, Id zone,
-                                                           const std::vector<Id>& schedulable,
-                                                           const MayPreempt* may_preempt) const {
+bool GangReservation::may_host(const Machine& machine, Id machine_id, Id job_id, Id zone) const {
+    const Job& job = context_.cluster.jobs[job_id];
+    const MachineType* machine_type = context_.cluster.machine_type(machine.machine_type);
+    if (!machine_type || (zone != kNone && machine.zone != zone) ||
+        job.failed_on.count(machine_id)) {
+        return false;
+    }
+    if (machine.reservation.job != kNone && machine.reservation.job != job_id) {
+        return false;
+    }
+    return ClusterState::slots(job.spec, machine.machine_type, machine.zone, machine.spot,
+                               machine_type->size) > 0;
+}
+
+void GangReservation::add_slots(Ms now, Id job, Id machine_id, const MayPreempt* may_preempt,
+                                std::vector<Slot>& slots) const {
     const ClusterState& cluster = context_.cluster;
-    const Job& j = cluster.jobs[id];
-    const JobSpec& s = j.spec;
-    std::vector<Slot> all;
-    for (Id mid : schedulable) {
-        const Machine& m = cluster.machines[mid];
-        const MachineType* machine_type = cluster.machine_type(m.machine_type);
-        if (!machine_type || (zone != kNone && m.zone != zone) || j.failed_on.count(mid)) {
-            continue;
-        }
-        if (m.reservation.job != kNone && m.reservation.job != id) {
-            continue;
-        }
-        if (ClusterState::slots(s, m.machine_type, m.zone, m.spot, machine_type->size) == 0) {
-            continue;
-        }
-        Resources free = machine_type->size - m.used;
-        std::uint32_t had = 0;
-        auto count = [&](Ms at) {
-            std::uint32_t n = ClusterState::slots(s, m.machine_type, m.zone, m.spot, free);
-            for (; had < n; ++had) {
-                all.push_back({at, mid});
-            }
-        };
-        count(now);
-        for (const auto& [end, ref] : ends(now, id, mid, may_preempt)) {
-            free += cluster.jobs[ref.job].spec.each;
-            count(end);
+    const JobSpec& spec = cluster.jobs[job].spec;
+    const Machine& machine = cluster.machines[machine_id];
+    Resources free = cluster.machine_type(machine.machine_type)->size - machine.used;
+    std::uint32_t added = 0;
+    auto add_free_slots = [&](Ms at) {
+        std::uint32_t available =
+            ClusterState::slots(spec, machine.machine_type, machine.zone, machine.spot, free);
+        for (; added < available; ++added) {
+            slots.push_back({at, machine_id});
         }
+    };
+    add_free_slots(now);
+    for (const TaskEnd& end : task_ends(now, job, machine_id, may_preempt)) {
+        free += cluster.jobs[end.task.job].spec.each;
+        add_free_slots(end.at);
     }
-    std::sort(all.begin(), all.end());
-    Plan p;
-    std::map<Id, std::uint32_t> in_zone;
-    for (const Slot& slot : all) {
-        if (p.slots.size() == s.tasks) {
+}
+
+std::optional<GangReservation::Plan> GangReservation::choose_slots(const JobSpec& spec,
+                                                                   std::vector<Slot>& slots) const {
+    std::sort(slots.begin(), slots.end());
+    Plan plan;
+    std::map<Id, std::uint32_t> slots_in_zone;
+    for (const Slot& slot : slots) {
+        if (plan.slots.size() == spec.tasks) {
             break;
         }
         // A gang that must be spread can't use them all in one zone.
-        if (++in_zone[cluster.machines[slot.machine].zone] > s.zone_most()) {
+        Id zone = context_.cluster.machines[slot.machine].zone;
+        if (++slots_in_zone[zone] > spec.zone_most()) {
             continue;
         }
-        p.slots.push_back(slot);
+        plan.slots.push_back(slot);
     }
-    if (p.slots.size() < s.tasks) {
+    if (plan.slots.size() < spec.tasks) {
         return std::nullopt;
     }
-    p.ready = p.slots.back().at;
-    return p;
+    plan.ready_at = plan.slots.back().at;
+    return plan;
 }
 
-void GangReservation::release(Id job) {
-    for (Machine& m : context_.cluster.machines) {
-        if (m.reservation.job == job) {
-            m.reservation.job = kNone;
+std::optional<GangReservation::Plan> GangReservation::plan_zone(
+    Ms now, Id job, Id zone, const std::vector<Id>& schedulable,
+    const MayPreempt* may_preempt) const {
+    const ClusterState& cluster = context_.cluster;
+    std::vector<Slot> slots;
+    for (Id machine : schedulable) {
+        if (may_host(cluster.machines[machine], machine, job, zone)) {
+            add_slots(now, job, machine, may_preempt, slots);
         }
     }
+    return choose_slots(cluster.jobs[job].spec, slots);
 }
 
-bool GangReservation::reserve(Ms now, Id id, const std::vector<Id>& schedulable,
-                              const MayPreempt& may_preempt) {
-    ClusterState& cluster = context_.cluster;
-    Job& j = cluster.jobs[id];
-    if (now < j.reserve_at) {
-        return j.reserving;
-    }
-    j.reserving = false;
-    looked_ = 0;
-    std::vector<Id> zones{kNone};
-    if (j.spec.one_zone) {
-        zones.clear();
-        for (Id m : schedulable) {
-            Id zone = cluster.machines[m].zone;
-            if (std::find(zones.begin(), zones.end(), zone) == zones.end()) {
-                zones.push_back(zone);
-            }
+Id GangReservation::reserved_zone(Id job, const std::vector<Id>& schedulable) const {
+    Id zone = kNone;
+    for (Id id : schedulable) {
+        const Machine& machine = context_.cluster.machines[id];
+        if (machine.reservation.job == job) {
+            zone = machine.zone;
         }
     }
-    Id reserved_zone = kNone;
-    for (Id m : schedulable) {
-        if (cluster.machines[m].reservation.job == id) {
-            reserved_zone = cluster.machines[m].zone;
+    return zone;
+}
+
+std::optional<GangReservation::Plan> GangReservation::best_plan(
+    Ms now, Id job, const std::vector<Id>& schedulable, const MayPreempt* may_preempt) const {
+    const ClusterState& cluster = context_.cluster;
+    Id reserved = reserved_zone(job, schedulable);
+    std::optional<Plan> best;
+    Ms best_ready_at = 0;
+    for (Id zone : gang_zones(cluster.jobs[job].spec, schedulable,
+                              [&](Id machine) { return cluster.machines[machine].zone; })) {
+        std::optional<Plan> plan = plan_zone(now, job, zone, schedulable, may_preempt);
+        if (!plan) {
+            continue;
+        }
+        Ms ready_at = plan->ready_at - (zone == reserved ? kReservedZoneBonus : 0);
+        if (!best || ready_at < best_ready_at) {
+            best = std::move(plan);
+            best_ready_at = ready_at;
         }
     }
-    auto best_of = [&](const MayPreempt* stop) {
-        std::optional<Plan> best;
-        Ms best_at = 0;
-        for (Id zone : zones) {
-            auto p = plan(now, id, zone, schedulable, stop);
-            if (!p) {
-                continue;
-            }
-            Ms at = p->ready - (zone == reserved_zone ? kSameZone : 0);
-            if (!best || at < best_at) {
-                best = std::move(p);
-                best_at = at;
-            }
+    return best;
+}
+
+void GangReservation::release(Id job) {
+    for (Machine& machine : context_.cluster.machines) {
+        if (machine.reservation.job == job) {
+            machine.reservation.job = kNone;
         }
-        return best;
-    };
-    std::optional<Plan> best = best_of(nullptr);
-    bool stopping = false;
-    const OperatorSettings& operator_settings = context_.controller.operator_settings;
-    if (operator_settings.preempt &&
-        now >= j.waiting_since + to_ms(operator_settings.preempt_after_s) &&
-        now >= stopped_at_ + kStopEvery) {
-        auto sooner = best_of(&may_preempt);
-        if (sooner && (!best || sooner->ready + kWorthStopping < best->ready)) {
+    }
+}
+
+bool GangReservation::may_preempt_now(Ms now, const Job& job) const {
+    const OperatorSettings& settings = context_.controller.operator_settings;
+    return settings.preempt && now >= job.waiting_since + to_ms(settings.preempt_after_s) &&
+           now >= preempted_at_ + kPreemptEvery;
+}
+
+bool GangReservation::reserve(Ms now, Id job_id, const std::vector<Id>& schedulable,
+                              const MayPreempt& may_preempt) {
+    Job& job = context_.cluster.jobs[job_id];
+    if (now < job.reserve_at) {
+        return job.reserving;
+    }
+    job.reserving = false;
+    examined_tasks_ = 0;
+    std::optional<Plan> best = best_plan(now, job_id, schedulable, nullptr);
+    bool preempting = false;
+    if (may_preempt_now(now, job)) {
+        std::optional<Plan> sooner = best_plan(now, job_id, schedulable, &may_preempt);
+        if (sooner && (!best || sooner->ready_at + kWorthPreempting < best->ready_at)) {
             best = std::move(sooner);
-            stopping = true;
+            preempting = true;
         }
     }
-    j.reserve_at = now + static_cast<Ms>(looked_ / kLooksPerMs);
-    release(id);
+    job.reserve_at = now + static_cast<Ms>(examined_tasks_ / kExaminedTasksPerMs);
+    release(job_id);
     if (!best) {
-        spdlog::debug("{} finds no zone with {} places, full or empty", j.spec.id, j.spec.tasks);
+        spdlog::debug("{}: no zone could hold its {} tasks", job.spec.id, job.spec.tasks);
         return false;
     }
-    spdlog::debug("{} has machines kept in {}, ready in {:.1f} s", j.spec.id,
-                  cluster.names.zones.name(cluster.machines[best->slots.front().machine].zone),
-                  static_cast<double>(best->ready - now) / 1000.0);
-    for (const Slot& slot : best->slots) {
-        Machine& m = cluster.machines[slot.machine];
-        m.reservation.job = id;
-        m.reservation.until = now + kKeepFor;
-        m.reservation.ready_at = best->ready;
-    }
-    j.reserving = true;
-    if (stopping) {
-        preempt_victims(now, id, *best, may_preempt);
+    reserve_machines(now, job_id, *best);
+    job.reserving = true;
+    if (preempting) {
+        preempt_victims(now, job_id, *best, may_preempt);
     }
     return true;
 }
 
-void GangReservation::preempt_victims(Ms now, Id id, const Plan& plan,
+void GangReservation::reserve_machines(Ms now, Id job, const Plan& plan) {
+    ClusterState& cluster = context_.cluster;
+    spdlog::debug("{}: machines reserved in {}, ready in {:.1f} s", cluster.jobs[job].spec.id,
+                  cluster.names.zones.name(cluster.machines[plan.slots.front().machine].zone),
+                  static_cast<double>(plan.ready_at - now) / 1000.0);
+    for (const Slot& slot : plan.slots) {
+        MachineReservation& reservation = cluster.machines[slot.machine].reservation;
+        reservation.job = job;
+        reservation.until = now + kReserveFor;
+        reservation.ready_at = plan.ready_at;
+    }
+}
+
+void GangReservation::preempt_victims(Ms now, Id job_id, const Plan& plan,
                                       const MayPreempt& may_preempt) {
     ClusterState& cluster = context_.cluster;
-    const JobSpec& s = cluster.jobs[id].spec;
-    std::map<Id, std::uint32_t> need;
+    const Job& job = cluster.jobs[job_id];
+    std::map<Id, std::uint32_t> needed_slots;  // by machine
     for (const Slot& slot : plan.slots) {
-        ++need[slot.machine];
-    }
-    int stopped = 0;
-    for (const auto& [mid, places] : need) {
-        const Machine& m = cluster.machines[mid];
-        Resources free = cluster.machine_type(m.machine_type)->size - m.used;
-        for (const auto& [end, ref] : ends(now, id, mid, &may_preempt)) {
-            if (ClusterState::slots(s, m.machine_type, m.zone, m.spot, free) >= places) {
+        ++needed_slots[slot.machine];
+    }
+    int preempted = 0;
+    for (const auto& [machine_id, needed] : needed_slots) {
+        const Machine& machine = cluster.machines[machine_id];
+        Resources free = cluster.machine_type(machine.machine_type)->size - machine.used;
+        for (const TaskEnd& end : task_ends(now, job_id, machine_id, &may_preempt)) {
+            if (ClusterState::slots(job.spec, machine.machine_type, machine.zone, machine.spot,
+                                    free) >= needed) {
                 break;
             }
-            const Job& v = cluster.jobs[ref.job];
-            free += v.spec.each;
-            if (cluster.task(ref).stopping || !may_preempt(v, cluster.jobs[id])) {
+            const Job& victim = cluster.jobs[end.task.job];
+            free += victim.spec.each;
+            if (cluster.task(end.task).stopping || !may_preempt(victim, job)) {
                 continue;
             }
-            lifecycle_.stop(ref, v.spec.checkpoint_duration_s + 1, now, true);
-            ++stopped;
+            preempt_task(cluster, lifecycle_, end.task, now);
+            ++preempted;
         }
     }
-    stopped_at_ = now;
-    if (stopped > 0) {
-        spdlog::info("{} takes room for {} tasks on {} machines: {} tasks are stopped", s.id,
-                     s.tasks, need.size(), stopped);
+    preempted_at_ = now;
+    if (preempted > 0) {
+        spdlog::info("{} preempts for {} tasks on {} machines: {} tasks stopped", job.spec.id,
+                     job.spec.tasks, needed_slots.size(), preempted);
     }
 }
 
--- /dev/null
+++ b/src/coordination/placement/machine_scorer.cpp
@@ -0,0 +1,123 @@
+#include "coordination/placement/machine_scorer.hpp"
+
+#include <cmath>
+
+#include "coordination/placement/waiting_order.hpp"
+
+namespace walkford {
+
+namespace {
+constexpr double kEstimateSlack = 1.5;  // estimates are often wrong by half
+constexpr double kStartDelayStepS = 2;  // delays that differ by less count as equal
+}  // namespace
+
+int MachineScorer::aged_priority(Id job) const {
+    return walkford::aged_priority(context_.cluster.jobs[job], zone_failover_.waits_since(job),
+                                   now_, context_.controller.operator_settings.priority_aging_s);
+}
+
+bool MachineScorer::admits(Id job_id, const FreeCapacity::MachineGroup& group) const {
+    const Job& job = context_.cluster.jobs[job_id];
+    const JobSpec& spec = job.spec;
+    if (!FreeCapacity::allowed(spec, group) || !zone_failover_.admits(job_id, group.zone)) {
+        return false;
+    }
+    if (spec.one_zone && !job.zones.empty() && job.zones.begin()->first != group.zone) {
+        return false;
+    }
+    if (!spec.spread) {
+        return true;
+    }
+    auto tasks_in_zone = job.zones.find(group.zone);
+    return tasks_in_zone == job.zones.end() || tasks_in_zone->second < spec.zone_most();
+}
+
+bool MachineScorer::needs_image(const JobSpec& spec, const Machine& machine) const {
+    return spec.image != kNone && machine.images.count(spec.image) == 0;
+}
+
+double MachineScorer::fetch_s(const JobSpec& spec, const Machine& machine) const {
+    const MachineType* machine_type = context_.cluster.machine_type(machine.machine_type);
+    if (machine_type->fetch_gb_per_s <= 0) {
+        return 0;
+    }
+    // Images fetched at the same time share the rate.
+    int fetches = 1 + context_.cluster.image_fetches_in_progress(machine);
+    return spec.image_gb / machine_type->fetch_gb_per_s * fetches;
+}
+
+bool MachineScorer::over_before_reservation(const JobSpec& spec, const Machine& machine,
+                                            double fetch_s) const {
+    double span = fetch_s + kEstimateSlack * spec.estimate_s +
+                  2 * context_.controller.platform_settings.report_s;
+    return !spec.starts_together() && spec.estimate_s > 0 &&
+           now_ + to_ms(span) <= machine.reservation.ready_at;
+}
+
+bool MachineScorer::blocked_by_failover(Id job, const FreeCapacity::MachineGroup& group,
+                                        const FreeCapacity::MachineCapacity& capacity,
+                                        bool must_fetch) const {
+    if (!zone_failover_.restricts()) {
+        return false;
+    }
+    ClusterState& cluster = context_.cluster;
+    int fetches = cluster.image_fetches_in_progress(cluster.machines[capacity.machine]);
+    if (must_fetch && !zone_failover_.admits_fetch(group.zone, fetches)) {
+        return true;
+    }
+    return zone_failover_.reserved(job, aged_priority(job),
+                                   {group.machine_type, group.zone, group.spot, capacity.free});
+}
+
+bool MachineScorer::blocked_by_reservation(Id job_id, const FreeCapacity::MachineGroup& group,
+                                           const FreeCapacity::MachineCapacity& capacity,
+                                           double fetch_s) const {
+    const Job& job = context_.cluster.jobs[job_id];
+    const Machine& machine = context_.cluster.machines[capacity.machine];
+    if (machine.reservation.job == job_id) {
+        return false;
+    }
+    if (machine.reservation.job != kNone && !over_before_reservation(job.spec, machine, fetch_s)) {
+        return true;
+    }
+    // (Not from services: a replica that may be in one zone only, as its job is spread, waited for
+    // ever for the slots kept there. They are few, and wanted at once.)
+    return !job.spec.service() && class_capacity_.reserved_for_others(job, group, capacity.free);
+}
+
+// The order in which machines are tried: where this job hasn't failed, where the task starts
+// soonest and other classes lose the fewest slots, spot first for those who may, then the fullest.
+std::optional<MachineScore> MachineScorer::score(
+    Id job_id, const FreeCapacity::MachineGroup& group,
+    const FreeCapacity::MachineCapacity& capacity) const {
+    const Job& job = context_.cluster.jobs[job_id];
+    const JobSpec& spec = job.spec;
+    if (!spec.each.fits_in(capacity.free) || !admits(job_id, group)) {
+        return std::nullopt;
+    }
+    const Machine& machine = context_.cluster.machines[capacity.machine];
+    bool must_fetch = needs_image(spec, machine);
+    double fetch = must_fetch ? fetch_s(spec, machine) : 0;
+    if (blocked_by_failover(job_id, group, capacity, must_fetch) ||
+        blocked_by_reservation(job_id, group, capacity, fetch)) {
+        return std::nullopt;
+    }
+    double delay = fetch + context_.controller.operator_settings.opportunity_cost_s *
+                               class_capacity_.opportunity_cost(job, group, capacity.free);
+    MachineScore score = best_possible_score(job, group, capacity);
+    score.start_delay = std::round(delay / kStartDelayStepS);
+    return score;
+}
+
+MachineScore MachineScorer::best_possible_score(const Job& job,
+                                                const FreeCapacity::MachineGroup& group,
+                                                const FreeCapacity::MachineCapacity& capacity) {
+    MachineScore score;
+    score.failed = capacity.recently_failed || job.failed_on.count(capacity.machine) ? 1 : 0;
+    score.forgoes_spot = job.spec.spot && !group.spot ? 1 : 0;
+    score.free_share = group.size.cpus > 0 ? capacity.free.cpus / group.size.cpus : 0;
+    score.machine = capacity.machine;
+    return score;
+}
+
+}  // namespace walkford
--- a/src/coordination/placement/preemption.cpp
+++ b/src/coordination/placement/preemption.cpp
@@ -9,208 +9,267 @@
 namespace walkford {
 
 namespace {
-constexpr Ms kEvery = 500;
-constexpr int kMostPreemptions = 8;  // jobs that look for work to stop, in one go
+constexpr Ms kTick = 500;
+constexpr int kMaxJobsTried = 8;   // jobs that look for tasks to preempt, in one tick
+constexpr int kMaxJobsHelped = 2;  // jobs that room is made for, in one tick
 constexpr Ms kMoveReplicasAfter = 60000;
+constexpr double kStopGraceSlackS = 1;  // beyond the time that a checkpoint takes
+constexpr Ms kReservationSlack = 3000;  // beyond the time until the victims are reported gone
+constexpr double kNearlyOver = 0.8;     // of the estimate
+constexpr double kFixedCost = 1;        // of any preemption, in seconds of work
 }  // namespace
 
-// A replica never frees its place by itself: for work that has waited long it is stopped, to run
+void preempt_task(const ClusterState& cluster, TaskLifecycle& lifecycle, TaskRef task, Ms now) {
+    double grace_s = cluster.jobs[task.job].spec.checkpoint_duration_s + kStopGraceSlackS;
+    lifecycle.stop(task, grace_s, now, true);
+}
+
+// A replica never frees its slot by itself: for work that has waited long it is preempted, to run
 // again elsewhere. (Three replicas on one of a zone's four small machines kept a gang of four from
 // ever beginning.)
-bool Preemption::may_move(Ms now, const Job& v, const Job& j) {
-    return v.spec.service() && !j.spec.service() && now >= j.waiting_since + kMoveReplicasAfter;
+bool Preemption::may_move(Ms now, const Job& victim, const Job& job) {
+    return victim.spec.service() && !job.spec.service() &&
+           now >= job.waiting_since + kMoveReplicasAfter;
 }
 
-bool Preemption::may_preempt(Ms now, const Job& v, const Job& j) const {
+bool Preemption::may_preempt(Ms now, const Job& victim, const Job& job) const {
     const ClusterState& cluster = context_.cluster;
-    if (v.spec.starts_together()) {
+    if (victim.spec.starts_together()) {
         return false;
     }
-    if (may_move(now, v, j)) {
+    if (may_move(now, victim, job)) {
         return true;
     }
-    if (v.effective_priority() >= static_cast<int>(j.spec.priority)) {
+    if (victim.effective_priority() >= static_cast<int>(job.spec.priority)) {
         return false;
     }
-    // What a team runs within its guarantee need not make room for others.
-    if (v.spec.team != j.spec.team && cluster.within_guaranteed_share(v.spec.team, Resources{})) {
+    // What a team runs within its guaranteed share need not make room for others.
+    if (victim.spec.team != job.spec.team &&
+        cluster.within_guaranteed_share(victim.spec.team, Resources{})) {
         return false;
     }
-    // Work that can run nowhere else only loses, unless nobody asked for it to start soon.
-    return classes_.elsewhere(v.spec, j.spec) ||
-           classes_.start_objective_s(v.spec) > classes_.start_objective_s(j.spec);
+    // Work that can run nowhere else only loses, unless it has no objective on its start latency.
+    return class_capacity_.can_run_elsewhere(victim.spec, job.spec) ||
+           class_capacity_.start_objective_s(victim.spec) >
+               class_capacity_.start_objective_s(job.spec);
 }
 
-// May the victim's work make room for the job, by priority or by guarantee?
-bool Preemption::preemptible(Ms now, const Job& v, const Job& j, bool guaranteed) const {
-    if (v.effective_priority() < static_cast<int>(j.spec.priority) || may_move(now, v, j)) {
+bool Preemption::outranks(Ms now, const Job& job, const Job& victim, bool guaranteed) const {
+    if (victim.effective_priority() < static_cast<int>(job.spec.priority) ||
+        may_move(now, victim, job)) {
         return true;
     }
-    return guaranteed && v.spec.team != j.spec.team && context_.cluster.team(v.spec.team) &&
-           !context_.cluster.within_guaranteed_share(v.spec.team, Resources{});
+    const ClusterState& cluster = context_.cluster;
+    return guaranteed && victim.spec.team != job.spec.team && cluster.team(victim.spec.team) &&
+           !cluster.within_guaranteed_share(victim.spec.team, Resources{});
 }
 
-// Room for work of higher priority, or for a team within its guarantee from one beyond its own. The
-// work stopped saves first; the room is kept for whom it was made. At most two are helped and a few
-// looked at in one go; the next goes on where this one stopped.
-void Preemption::tick(Ms now, const std::vector<Id>& order, const std::vector<Id>& schedulable) {
-    if (now < next_) {
-        return;
-    }
-    next_ = now + kEvery;
-    ClusterState& cluster = context_.cluster;
-    // One job of each class and team with work that can be stopped, of the lowest rank: who could
-    // stop none of these need not look at two thousand machines.
-    running_.clear();
+// Work that can run nowhere else would only lose what it was doing.
+bool Preemption::may_be_victim(Ms now, const Job& victim, const Job& job, bool guaranteed) const {
+    return outranks(now, job, victim, guaranteed) &&
+           class_capacity_.can_run_elsewhere(victim.spec, job.spec);
+}
+
+// A waiting job that could preempt none of these need not look at two thousand machines.
+void Preemption::find_running_jobs() {
+    const ClusterState& cluster = context_.cluster;
+    running_jobs_.clear();
     for (Id id = 0; id < cluster.jobs.size(); ++id) {
-        const Job& j = cluster.jobs[id];
-        if (!j.alive || j.assigned == 0 || j.spec.starts_together()) {
+        const Job& job = cluster.jobs[id];
+        if (!job.alive || job.assigned == 0 || job.spec.starts_together()) {
             continue;
         }
-        auto [it, fresh] = running_.try_emplace({j.spec.job_class, j.spec.team}, id);
-        if (!fresh && j.effective_priority() < cluster.jobs[it->second].effective_priority()) {
-            it->second = id;
+        auto [lowest, inserted] =
+            running_jobs_.try_emplace({job.spec.job_class, job.spec.team}, id);
+        if (!inserted &&
+            job.effective_priority() < cluster.jobs[lowest->second].effective_priority()) {
+            lowest->second = id;
         }
     }
-    if (running_.empty()) {
+}
+
+bool Preemption::wants_room(Ms now, Id job_id) const {
+    const ClusterState& cluster = context_.cluster;
+    const Job& job = cluster.jobs[job_id];
+    const JobSpec& spec = job.spec;
+    if (!job.alive || job.cancelled || job.ending || job.waiting() == 0 || job.not_before > now) {
+        return false;
+    }
+    if (now < job.waiting_since + to_ms(context_.controller.operator_settings.preempt_after_s)) {
+        return false;
+    }
+    if (spec.starts_together() || !cluster.within_quota(spec.team, spec.each)) {
+        return false;
+    }
+    bool guaranteed = cluster.within_guaranteed_share(spec.team, spec.each);
+    bool any_victim =
+        std::any_of(running_jobs_.begin(), running_jobs_.end(), [&](const auto& entry) {
+            return may_be_victim(now, cluster.jobs[entry.second], job, guaranteed);
+        });
+    if (!any_victim) {
+        return false;
+    }
+    // Not where room is being made for it already.
+    return std::none_of(cluster.machines.begin(), cluster.machines.end(),
+                        [&](const Machine& machine) { return machine.reservation.job == job_id; });
+}
+
+// Few jobs are tried in one tick; the next goes on where this one stopped.
+void Preemption::tick(Ms now, const std::vector<Id>& order, const std::vector<Id>& schedulable) {
+    if (now < next_tick_at_) {
+        return;
+    }
+    next_tick_at_ = now + kTick;
+    find_running_jobs();
+    if (running_jobs_.empty()) {
         return;
     }
-    int made = 0;
-    int tried = 0;
     if (cursor_ >= order.size()) {
         cursor_ = 0;
     }
-    for (std::size_t n = 0; n < order.size() && made < 2 && tried < kMostPreemptions; ++n) {
-        Id id = order[cursor_];
+    int helped = 0;
+    int tried = 0;
+    for (std::size_t i = 0; i < order.size() && helped < kMaxJobsHelped && tried < kMaxJobsTried;
+         ++i) {
+        Id job = order[cursor_];
         cursor_ = (cursor_ + 1) % order.size();
-        const Job& j = cluster.jobs[id];
-        const JobSpec& s = j.spec;
-        if (!j.alive || j.cancelled || j.ending || j.waiting() == 0 || j.not_before > now) {
-            continue;
-        }
-        if (now < j.waiting_since + to_ms(context_.controller.operator_settings.preempt_after_s)) {
-            continue;
-        }
-        if (s.starts_together() || !cluster.within_quota(s.team, s.each)) {
-            continue;
+        if (wants_room(now, job)) {
+            ++tried;
+            helped += make_room(now, job, schedulable);
         }
-        bool guaranteed = cluster.within_guaranteed_share(s.team, s.each);
-        bool any = std::any_of(running_.begin(), running_.end(), [&](const auto& entry) {
-            const Job& v = cluster.jobs[entry.second];
-            return preemptible(now, v, j, guaranteed) && classes_.elsewhere(v.spec, s);
-        });
-        if (!any) {
-            continue;
-        }
-        bool being_made = std::any_of(cluster.machines.begin(), cluster.machines.end(),
-                                      [&](const Machine& m) { return m.reservation.job == id; });
-        if (being_made) {
-            continue;
-        }
-        ++tried;
-        made += make_room(now, id, schedulable);
     }
-    if (made < 2 && tried < kMostPreemptions) {
+    if (helped < kMaxJobsHelped && tried < kMaxJobsTried) {
         cursor_ = 0;  // all were looked at
     }
 }
 
-bool Preemption::make_room(Ms now, Id id, const std::vector<Id>& schedulable) {
+bool Preemption::may_host(const Job& job, Id machine_id) const {
+    const Machine& machine = context_.cluster.machines[machine_id];
+    const JobSpec& spec = job.spec;
+    const MachineType* machine_type = context_.cluster.machine_type(machine.machine_type);
+    if (!machine_type || machine.reservation.job != kNone ||
+        ClusterState::slots(spec, machine.machine_type, machine.zone, machine.spot,
+                            machine_type->size) == 0) {
+        return false;
+    }
+    if (spec.one_zone && !job.zones.empty() && job.zones.begin()->first != machine.zone) {
+        return false;
+    }
+    if (spec.spread && job.zones.count(machine.zone) &&
+        job.zones.at(machine.zone) >= spec.zone_most()) {
+        return false;
+    }
+    return job.failed_on.count(machine_id) == 0;
+}
+
+double Preemption::preemption_cost(Ms now, TaskRef ref) const {
+    const JobSpec& spec = context_.cluster.jobs[ref.job].spec;
+    const Task& task = context_.cluster.task(ref);
+    double ran_s =
+        task.running_since < 0 ? 0 : static_cast<double>(now - task.running_since) / 1000.0;
+    double cost =
+        kFixedCost + (spec.checkpoint_interval_s > 0 ? spec.checkpoint_duration_s : ran_s);
+    // One that is nearly over frees its slot by itself.
+    if (task.running_since >= 0 && spec.estimate_s > 0 && ran_s > kNearlyOver * spec.estimate_s) {
+        cost += spec.checkpoint_duration_s;
+    }
+    return cost;
+}
+
+std::vector<Preemption::Victim> Preemption::find_victims(Ms now, Request& request,
+                                                         const Machine& machine) const {
     ClusterState& cluster = context_.cluster;
-    Job& j = cluster.jobs[id];
-    const JobSpec& s = j.spec;
-    bool guaranteed = cluster.within_guaranteed_share(s.team, s.each);
-    std::map<Id, bool> may;  // by the victim's job
-    double best_cost = 1e18;
-    Id best = kNone;
-    std::vector<TaskRef> best_victims;
-    for (Id mid : schedulable) {
-        const Machine& m = cluster.machines[mid];
-        const MachineType* machine_type = cluster.machine_type(m.machine_type);
-        if (!machine_type || m.reservation.job != kNone ||
-            ClusterState::slots(s, m.machine_type, m.zone, m.spot, machine_type->size) == 0) {
+    const Job& job = cluster.jobs[request.job];
+    std::vector<Victim> victims;
+    for (TaskRef ref : machine.tasks) {
+        const Job& victim = cluster.jobs[ref.job];
+        if (cluster.task(ref).stopping || victim.spec.starts_together()) {
             continue;
         }
-        if (s.one_zone && !j.zones.empty() && j.zones.begin()->first != m.zone) {
-            continue;
+        auto [allowed, inserted] = request.may_be_victim.try_emplace(ref.job, false);
+        if (inserted) {
+            allowed->second = may_be_victim(now, victim, job, request.guaranteed);
         }
-        if (s.spread && j.zones.count(m.zone) && j.zones.at(m.zone) >= s.zone_most()) {
-            continue;
+        if (allowed->second) {
+            victims.push_back({preemption_cost(now, ref), ref});
         }
-        if (j.failed_on.count(mid)) {
-            continue;
+    }
+    std::sort(victims.begin(), victims.end());
+    return victims;
+}
+
+Preemption::Choice Preemption::choose_victims(const Job& job, Id machine_id,
+                                              const std::vector<Victim>& victims) const {
+    const ClusterState& cluster = context_.cluster;
+    const Machine& machine = cluster.machines[machine_id];
+    Resources free = cluster.machine_type(machine.machine_type)->size - machine.used;
+    Choice choice;
+    std::map<Id, Resources> taken;  // by team: none is pushed below its guaranteed share
+    for (const Victim& candidate : victims) {
+        if (job.spec.each.fits_in(free)) {
+            break;
         }
-        std::vector<std::pair<double, TaskRef>> victims;
-        for (TaskRef ref : m.tasks) {
-            const Job& v = cluster.jobs[ref.job];
-            const Task& t = cluster.task(ref);
-            if (t.stopping || v.spec.starts_together()) {
-                continue;
-            }
-            auto [it, fresh] = may.try_emplace(ref.job, false);
-            // Work that can run nowhere else would only lose what it was doing.
-            if (fresh) {
-                it->second = preemptible(now, v, j, guaranteed) && classes_.elsewhere(v.spec, s);
-            }
-            if (!it->second) {
-                continue;
-            }
-            double ran =
-                t.running_since < 0 ? 0 : static_cast<double>(now - t.running_since) / 1000.0;
-            double cost =
-                1 + (v.spec.checkpoint_interval_s > 0 ? v.spec.checkpoint_duration_s : ran);
-            // One that is nearly over frees its room by itself.
-            if (t.running_since >= 0 && v.spec.estimate_s > 0 && ran > 0.8 * v.spec.estimate_s) {
-                cost += v.spec.checkpoint_duration_s;
-            }
-            victims.emplace_back(cost, ref);
+        const JobSpec& victim = cluster.jobs[candidate.task.job].spec;
+        Resources& taken_from_team = taken[victim.team];
+        if (victim.priority >= job.spec.priority &&
+            cluster.within_guaranteed_share(victim.team, Resources{} - taken_from_team)) {
+            continue;
         }
-        std::sort(victims.begin(), victims.end());
-        Resources free = machine_type->size - m.used;
-        double cost = 0;
-        std::vector<TaskRef> chosen;
-        std::map<Id, Resources> taken;  // a team is not pushed below its guarantee
-        for (const auto& [c, ref] : victims) {
-            if (s.each.fits_in(free)) {
-                break;
-            }
-            const Job& v = cluster.jobs[ref.job];
-            Resources& gone = taken[v.spec.team];
-            if (v.spec.priority >= s.priority &&
-                cluster.within_guaranteed_share(v.spec.team, Resources{} - gone)) {
-                continue;
-            }
-            gone += v.spec.each;
-            free += v.spec.each;
-            cost += c;
-            chosen.push_back(ref);
+        taken_from_team += victim.each;
+        free += victim.each;
+        choice.cost += candidate.cost;
+        choice.victims.push_back(candidate.task);
+    }
+    if (!job.spec.each.fits_in(free)) {
+        return {};
+    }
+    choice.machine = machine_id;
+    return choice;
+}
+
+bool Preemption::make_room(Ms now, Id job_id, const std::vector<Id>& schedulable) {
+    const ClusterState& cluster = context_.cluster;
+    const Job& job = cluster.jobs[job_id];
+    Request request{job_id, cluster.within_guaranteed_share(job.spec.team, job.spec.each), {}};
+    Choice best;
+    for (Id machine : schedulable) {
+        if (!may_host(job, machine)) {
+            continue;
         }
-        if (chosen.empty() || !s.each.fits_in(free)) {
+        Choice choice =
+            choose_victims(job, machine, find_victims(now, request, cluster.machines[machine]));
+        if (choice.victims.empty()) {
             continue;
         }
-        if (cost < best_cost) {
-            best_cost = cost;
-            best = mid;
-            best_victims = std::move(chosen);
+        if (best.machine == kNone || choice.cost < best.cost) {
+            best = std::move(choice);
         }
     }
-    if (best == kNone) {
+    if (best.machine == kNone) {
         return false;
     }
-    Machine& m = cluster.machines[best];
-    double save = 0;
-    for (TaskRef ref : best_victims) {
-        save = std::max(save, cluster.jobs[ref.job].spec.checkpoint_duration_s);
+    preempt(now, job_id, best);
+    return true;
+}
+
+// The room is kept for the job that it is made for.
+void Preemption::preempt(Ms now, Id job_id, const Choice& choice) {
+    ClusterState& cluster = context_.cluster;
+    Machine& machine = cluster.machines[choice.machine];
+    double checkpoint_s = 0;
+    for (TaskRef ref : choice.victims) {
+        checkpoint_s = std::max(checkpoint_s, cluster.jobs[ref.job].spec.checkpoint_duration_s);
     }
-    spdlog::info("{} takes room on {}: {} tasks are stopped", s.id, m.name, best_victims.size());
-    m.reservation.job = id;
-    m.reservation.until =
-        now + to_ms(save + 2 * context_.controller.platform_settings.report_s) + 3000;
-    m.reservation.ready_at = now;
-    for (TaskRef ref : best_victims) {
-        lifecycle_.stop(ref, cluster.jobs[ref.job].spec.checkpoint_duration_s + 1, now, true);
+    spdlog::info("{} preempts on {}: {} tasks stopped", cluster.jobs[job_id].spec.id, machine.name,
+                 choice.victims.size());
+    machine.reservation.job = job_id;
+    machine.reservation.until =
+        now + to_ms(checkpoint_s + 2 * context_.controller.platform_settings.report_s) +
+        kReservationSlack;
+    machine.reservation.ready_at = now;
+    for (TaskRef ref : choice.victims) {
+        preempt_task(cluster, lifecycle_, ref, now);
     }
-    return true;
 }
 
 }  // namespace walkford
--- a/src/coordination/scaling/scaler.cpp
+++ b/src/coordination/scaling/scaler.cpp
@@ -149,11 +149,12 @@
             }
         }
     }
-    rank(list, fleet);
+    sort_candidates(list, fleet);
     return list;
 }
 
-void Scaler::rank(std::vector<ScaleOutCandidate>& candidates, const FleetMeasurement& fleet) const {
+void Scaler::sort_candidates(std::vector<ScaleOutCandidate>& candidates,
+                             const FleetMeasurement& fleet) const {
     bool most_cores_first = context_.controller.operator_settings.order == kMostCoresFirst;
     auto registered = [&fleet](const ScaleOutCandidate& candidate) {
         auto count = fleet.registered_machines.find({candidate.machine_type, candidate.zone});
--- a/src/coordination/scaling/scaler.hpp
+++ b/src/coordination/scaling/scaler.hpp
@@ -80,7 +80,9 @@
     std::vector<ScaleOutCandidate> candidates(Ms now, const FleetMeasurement& fleet,
                                               const CloudManager& cloud,
                                               const UnitsOf& units_of) const;
-    void rank(std::vector<ScaleOutCandidate>& candidates, const FleetMeasurement& fleet) const;
+    // Sorts by cost (or cores, by the setting `order`), the best first.
+    void sort_candidates(std::vector<ScaleOutCandidate>& candidates,
+                         const FleetMeasurement& fleet) const;
 
     // Machines of that type that are registered or requested.
     static std::uint32_t machine_count(Id machine_type, const FleetMeasurement& fleet,
--- a/src/coordination/scaling/trial_packing.cpp
+++ b/src/coordination/scaling/trial_packing.cpp
@@ -74,7 +74,7 @@
         pack_in_any_zone(demand);
         return;
     }
-    std::vector<ZoneSlots> zones = rank_zones(job, demand.count);
+    std::vector<ZoneSlots> zones = zones_by_slots(job, demand.count);
     std::uint32_t available = 0;
     for (const ZoneSlots& zone : zones) {
         available = spec.one_zone ? std::max(available, zone.slots) : available + zone.slots;
@@ -98,7 +98,8 @@
     demand.shortfalls = {{kNone, demand.count}};
 }
 
-std::vector<TrialPacking::ZoneSlots> TrialPacking::rank_zones(const Job& job, std::uint32_t count) {
+std::vector<TrialPacking::ZoneSlots> TrialPacking::zones_by_slots(const Job& job,
+                                                                  std::uint32_t count) {
     const JobSpec& spec = job.spec;
     std::vector<ZoneSlots> zones;
     for (Id zone = 0; zone < cluster_.names.zones.size(); ++zone) {
--- a/src/coordination/scaling/trial_packing.hpp
+++ b/src/coordination/scaling/trial_packing.hpp
@@ -71,7 +71,7 @@
     void pack_in_one_zone(PendingDemand& demand, const std::vector<ZoneSlots>& zones, bool put);
     void pack_spread(PendingDemand& demand, const std::vector<ZoneSlots>& zones, bool put);
     // The zones that may hold tasks of the job, the one with the most slots first.
-    std::vector<ZoneSlots> rank_zones(const Job& job, std::uint32_t count);
+    std::vector<ZoneSlots> zones_by_slots(const Job& job, std::uint32_t count);
     // The slots for tasks of the job in the zone; counts no further than `limit`.
     std::uint32_t count_slots(const JobSpec& spec, Id zone, std::uint32_t limit);
     // Packs up to `count` tasks into the bins of the zone (kNone: any); returns what is left over.
--- a/src/coordination/scaling/utilization.cpp
+++ b/src/coordination/scaling/utilization.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "coordination/placement/placer.hpp"
+#include "coordination/placement/waiting_order.hpp"
 
 namespace walkford {
 
@@ -12,9 +12,9 @@
 // So many silent machines, and a fifth of the fleet, are more than single machines that stop.
 constexpr std::size_t kManySilent = 8;
 constexpr std::size_t kFleetPerSilent = 5;
-constexpr Ms kExpectedBackWithin = 20000;  // after the lease
-constexpr Ms kBootSlack = 3000;            // for the request and the first heartbeat
-constexpr Ms kSettleAfterElection = 6000;  // until the machines have reported to a new leader
+constexpr Ms kExpectedBackWithin = 20000;       // after the lease
+constexpr Ms kBootSlack = 3000;                 // for the request and the first heartbeat
+constexpr Ms kReportGraceAfterElection = 6000;  // until the machines have reported to a new leader
 constexpr double kUnlimited = 1e9;
 constexpr double kNegligible = 1e-9;
 
@@ -92,7 +92,7 @@
         !late_to_boot(machine, machine_type, now)) {
         return true;
     }
-    if (now < context_.elected_at + kSettleAfterElection && !machine.releasing &&
+    if (now < context_.elected_at + kReportGraceAfterElection && !machine.releasing &&
         !machine.health.quarantined) {
         return true;
     }
@@ -144,8 +144,7 @@
     const ClusterState& cluster = context_.cluster;
     std::map<Id, TeamDemand> team_demands;
     std::uint32_t tasks = 0;
-    for (Id id :
-         Placer::waiting_order(cluster, now, context_.controller.operator_settings.priority_aging_s,
+    for (Id id : waiting_order(cluster, now, context_.controller.operator_settings.priority_aging_s,
                                zone_failover_)) {
         const Job& job = cluster.jobs[id];
         // Bound to a lost zone: no machine elsewhere helps it, and its quota blocks nobody.
