--- a/src/coordination/placement/gang_placement.hpp
+++ b/src/coordination/placement/gang_placement.hpp
@@ -22,7 +22,8 @@
           reservation_(reservation),
           round_(round) {}
 
-    // Places a new attempt of the whole gang; false, and nothing changed, where it can't be now.
+    // Places a new attempt of the whole gang; false, with no member assigned, where it can't be
+    // now.
     bool place(Ms now, Id job);
     // Places members lost before their gang began, with the attempt of those that wait for them;
     // restarts the gang when that takes too long.
--- a/src/coordination/placement/machine_scorer.cpp
+++ b/src/coordination/placement/machine_scorer.cpp
@@ -32,7 +32,7 @@
     return tasks_in_zone == job.zones.end() || tasks_in_zone->second < spec.zone_most();
 }
 
-bool MachineScorer::needs_image(const JobSpec& spec, const Machine& machine) const {
+bool MachineScorer::must_fetch_image(const JobSpec& spec, const Machine& machine) {
     return spec.image != kNone && machine.images.count(spec.image) == 0;
 }
 
@@ -81,7 +81,7 @@
         return true;
     }
     // (Not from services: a replica that may be in one zone only, as its job is spread, waited for
-    // ever for the slots kept there. They are few, and wanted at once.)
+    // ever for the slots reserved there. They are few, and wanted at once.)
     return !job.spec.service() && class_capacity_.reserved_for_others(job, group, capacity.free);
 }
 
@@ -96,7 +96,7 @@
         return std::nullopt;
     }
     const Machine& machine = context_.cluster.machines[capacity.machine];
-    bool must_fetch = needs_image(spec, machine);
+    bool must_fetch = must_fetch_image(spec, machine);
     double fetch = must_fetch ? fetch_s(spec, machine) : 0;
     if (blocked_by_failover(job_id, group, capacity, must_fetch) ||
         blocked_by_reservation(job_id, group, capacity, fetch)) {
--- a/src/coordination/placement/machine_scorer.hpp
+++ b/src/coordination/placement/machine_scorer.hpp
@@ -40,11 +40,12 @@
     // The best score that the machine can have, known without a look at its tasks and images.
     static MachineScore best_possible_score(const Job& job, const FreeCapacity::MachineGroup& group,
                                             const FreeCapacity::MachineCapacity& capacity);
+    // The machine would have to fetch the job's image.
+    static bool must_fetch_image(const JobSpec& spec, const Machine& machine);
     // The job's priority, raised by waiting, as of this round.
     int aged_priority(Id job) const;
 
   private:
-    bool needs_image(const JobSpec& spec, const Machine& machine) const;
     double fetch_s(const JobSpec& spec, const Machine& machine) const;
     // Zone failover forbids it: the slot is reserved for displaced work, or too many images are
     // being fetched in the zone.
--- a/src/coordination/placement/placement_round.cpp
+++ b/src/coordination/placement/placement_round.cpp
@@ -17,7 +17,7 @@
     class_capacity_.task_placed(machine, spec.each);
     EvacuationReserve::Place place{machine.machine_type, machine.zone, machine.spot,
                                    cluster.machine_type(machine.machine_type)->size - machine.used};
-    bool must_fetch = spec.image != kNone && machine.images.count(spec.image) == 0;
+    bool must_fetch = MachineScorer::must_fetch_image(spec, machine);
     cluster.assign(task, machine_id, attempt, now);
     zone_failover_.placed(task.job, place, must_fetch);
     free_capacity_.update(cluster, machine_id);
--- a/src/coordination/placement/preemption.cpp
+++ b/src/coordination/placement/preemption.cpp
@@ -252,7 +252,7 @@
     return true;
 }
 
-// The room is kept for the job that it is made for.
+// The machine is reserved for the job that the victims make room for.
 void Preemption::preempt(Ms now, Id job_id, const Choice& choice) {
     ClusterState& cluster = context_.cluster;
     Machine& machine = cluster.machines[choice.machine];
--- a/src/coordination/scaling/scaler.cpp
+++ b/src/coordination/scaling/scaler.cpp
@@ -15,8 +15,6 @@
 constexpr Ms kMinIdle = 5000;  // before a machine is released below the low mark
 constexpr double kMaxLoggedUtilization = 999;
 constexpr double kNegligible = 1e-6;
-constexpr double kEqualCost = 1e-9;
-constexpr const char* kMostCoresFirst = "cores";  // a value of the setting `order`
 }  // namespace
 
 void Scaler::tick(Ms now, const WorkerManager& workers, CloudManager& cloud) {
@@ -101,78 +99,6 @@
     }
 }
 
-std::vector<Scaler::ScaleOutCandidate> Scaler::candidates_for_resource(
-    Ms now, Resource resource, const FleetMeasurement& fleet, const CloudManager& cloud) const {
-    const ClusterState& cluster = context_.cluster;
-    auto units_of = [&](const MachineType& machine_type, Id zone, bool spot) {
-        bool useful =
-            std::any_of(unplaced_.begin(), unplaced_.end(), [&](const PendingDemand& demand) {
-                return ClusterState::slots(cluster.jobs[demand.job].spec, machine_type.id, zone,
-                                           spot, machine_type.size) > 0;
-            });
-        return useful ? machine_type.size.get(resource) : 0.0;
-    };
-    return candidates(now, fleet, cloud, units_of);
-}
-
-std::vector<Scaler::ScaleOutCandidate> Scaler::candidates_for_job(Ms now, const JobSpec& spec,
-                                                                  const FleetMeasurement& fleet,
-                                                                  const CloudManager& cloud) const {
-    auto units_of = [&](const MachineType& machine_type, Id zone, bool spot) {
-        return static_cast<double>(
-            ClusterState::slots(spec, machine_type.id, zone, spot, machine_type.size));
-    };
-    return candidates(now, fleet, cloud, units_of);
-}
-
-template <typename UnitsOf>
-std::vector<Scaler::ScaleOutCandidate> Scaler::candidates(Ms now, const FleetMeasurement& fleet,
-                                                          const CloudManager& cloud,
-                                                          const UnitsOf& units_of) const {
-    bool use_spot = context_.controller.operator_settings.prefer_spot > 0;
-    std::vector<ScaleOutCandidate> list;
-    for (const MachineType& machine_type : context_.cluster.machine_types()) {
-        for (Id zone : machine_type.zones) {
-            for (bool spot : {true, false}) {
-                if (spot && (!use_spot || machine_type.spot_price <= 0)) {
-                    continue;
-                }
-                double units = units_of(machine_type, zone, spot);
-                double price = spot ? machine_type.spot_price : machine_type.price;
-                if (units <= 0 || price / units <= 0) {
-                    continue;
-                }
-                if (cloud.can_request(machine_type.id, zone, spot, now)) {
-                    list.push_back({machine_type.id, zone, spot, price, machine_type.size.cpus,
-                                    price / units});
-                }
-            }
-        }
-    }
-    sort_candidates(list, fleet);
-    return list;
-}
-
-void Scaler::sort_candidates(std::vector<ScaleOutCandidate>& candidates,
-                             const FleetMeasurement& fleet) const {
-    bool most_cores_first = context_.controller.operator_settings.order == kMostCoresFirst;
-    auto registered = [&fleet](const ScaleOutCandidate& candidate) {
-        auto count = fleet.registered_machines.find({candidate.machine_type, candidate.zone});
-        return count == fleet.registered_machines.end() ? 0 : count->second;
-    };
-    auto goes_before = [&](const ScaleOutCandidate& left, const ScaleOutCandidate& right) {
-        if (most_cores_first && left.cores != right.cores) {
-            return left.cores > right.cores;
-        }
-        if (std::abs(left.cost - right.cost) > kEqualCost) {
-            return left.cost < right.cost;
-        }
-        // Zones take turns: a reclaim of spot instances or a partition hits one zone at a time.
-        return registered(left) < registered(right);
-    };
-    std::stable_sort(candidates.begin(), candidates.end(), goes_before);
-}
-
 std::uint32_t Scaler::machine_count(Id machine_type, const FleetMeasurement& fleet,
                                     const CloudManager& cloud) {
     std::uint32_t machines = 0;
@@ -224,7 +150,8 @@
     // What a lost zone displaced is divided among the others.
     double zones = zone_failover_.evacuating() ? zone_failover_.open_zones() : 1;
     double needed_per_zone = needed / zones;
-    for (const ScaleOutCandidate& candidate : candidates_for_resource(now, driving, fleet, cloud)) {
+    for (const ScaleOutCandidate& candidate :
+         ScaleOutCandidates(now, context_, fleet, cloud).for_resource(driving, unplaced_)) {
         if (needed <= kNegligible) {
             break;
         }
@@ -255,7 +182,8 @@
     if (now < job.waiting_since + to_ms(settings.unplaceable_after_s)) {
         return false;
     }
-    std::vector<ScaleOutCandidate> list = candidates_for_job(now, job.spec, fleet, cloud);
+    std::vector<ScaleOutCandidate> list =
+        ScaleOutCandidates(now, context_, fleet, cloud).for_job(job.spec);
     return std::any_of(demand.shortfalls.begin(), demand.shortfalls.end(),
                        [&](const ZoneShortfall& shortfall) {
                            return shortfall.missing_slots > 0 &&
--- a/src/coordination/scaling/scaler.hpp
+++ b/src/coordination/scaling/scaler.hpp
@@ -8,6 +8,7 @@
 
 #include "coordination/cloud/cloud_manager.hpp"
 #include "coordination/leader/leader_context.hpp"
+#include "coordination/scaling/scale_out_candidates.hpp"
 #include "coordination/scaling/trial_packing.hpp"
 #include "coordination/scaling/utilization.hpp"
 #include "coordination/workers/worker_manager.hpp"
@@ -35,15 +36,6 @@
     const Utilization& last() const { return meter_.last().utilization; }
 
   private:
-    // A machine type in a zone, on demand or spot, that can be requested now.
-    struct ScaleOutCandidate {
-        Id machine_type = kNone;
-        Id zone = kNone;
-        bool spot = false;
-        double price = 0;  // per hour
-        double cores = 0;
-        double cost = 0;  // price per unit of what is short
-    };
     // A machine that may be released.
     struct ReleaseCandidate {
         double price = 0;
@@ -67,23 +59,6 @@
                            const std::vector<ScaleOutCandidate>& candidates,
                            FleetMeasurement& fleet, CloudManager& cloud);
 
-    // Candidates that offer the resource and suit some unplaced job, the best first.
-    std::vector<ScaleOutCandidate> candidates_for_resource(Ms now, Resource resource,
-                                                           const FleetMeasurement& fleet,
-                                                           const CloudManager& cloud) const;
-    // Candidates that can hold a task of the job, the best first.
-    std::vector<ScaleOutCandidate> candidates_for_job(Ms now, const JobSpec& spec,
-                                                      const FleetMeasurement& fleet,
-                                                      const CloudManager& cloud) const;
-    // `units_of(machine_type, zone, spot)`: how much of what is short such a machine offers.
-    template <typename UnitsOf>
-    std::vector<ScaleOutCandidate> candidates(Ms now, const FleetMeasurement& fleet,
-                                              const CloudManager& cloud,
-                                              const UnitsOf& units_of) const;
-    // Sorts by cost (or cores, by the setting `order`), the best first.
-    void sort_candidates(std::vector<ScaleOutCandidate>& candidates,
-                         const FleetMeasurement& fleet) const;
-
     // Machines of that type that are registered or requested.
     static std::uint32_t machine_count(Id machine_type, const FleetMeasurement& fleet,
                                        const CloudManager& cloud);
