--- a/src/bookkeeping/cluster_state.cpp
+++ b/src/bookkeeping/cluster_state.cpp
@@ -5,7 +5,26 @@
 
 namespace walkford {
 
-ClusterState::ClusterState(Names& n, std::vector<Team> teams) : names(n), teams_(std::move(teams)) {
+namespace {
+// Sums of decimals drift in the last bits; a millionth is not a resource.
+constexpr double kRoundingSlack = 1e-6;
+// No placement looks at more tasks on one machine.
+constexpr double kMaxSlots = 1000;
+constexpr std::uint32_t kNoLimit = 0xffffffffU;
+constexpr double kMaxHeadroom = 4e9;
+
+// How many more tasks that use `each` the limit admits; a limit of 0 is none.
+std::uint32_t headroom(double limit, double used, double each) {
+    if (limit <= 0 || each <= 0) {
+        return kNoLimit;
+    }
+    double tasks = std::floor((limit - used + kRoundingSlack) / each);
+    return tasks <= 0 ? 0 : static_cast<std::uint32_t>(std::min(tasks, kMaxHeadroom));
+}
+}  // namespace
+
+ClusterState::ClusterState(Names& shared_names, std::vector<Team> teams)
+    : names(shared_names), teams_(std::move(teams)) {
     used_.resize(teams_.size());
 }
 
@@ -14,78 +33,88 @@
 }
 
 const MachineType* ClusterState::machine_type(Id id) const {
-    for (const MachineType& k : machine_types_) {
-        if (k.id == id) {
-            return &k;
+    for (const MachineType& machine_type : machine_types_) {
+        if (machine_type.id == id) {
+            return &machine_type;
         }
     }
     return nullptr;
 }
 
 Id ClusterState::find_job(const std::string& id) const {
-    auto it = job_ids_.find(id);
-    return it == job_ids_.end() ? kNone : it->second;
+    auto found = job_ids_.find(id);
+    return found == job_ids_.end() ? kNone : found->second;
 }
 
-Id ClusterState::add_job(const StoredJob& stored_job, Ms now) {
-    Id id;
-    if (!free_jobs_.empty()) {
-        id = free_jobs_.back();
-        free_jobs_.pop_back();
-        jobs[id] = Job{};
-    } else {
-        id = static_cast<Id>(jobs.size());
+// An index for a new job, at which a fresh one stands.
+Id ClusterState::allocate_job() {
+    if (free_jobs_.empty()) {
         jobs.emplace_back();
+        return static_cast<Id>(jobs.size() - 1);
     }
-    Job& j = jobs[id];
-    j.spec = stored_job.record.spec;
-    j.version = stored_job.version;
-    j.created_version = stored_job.created_version;
-    j.cancelled = stored_job.record.cancelled;
-    j.known_since = now;
-    j.waiting_since = now;
-    j.start_deadline = now + start_budget(j.spec);
-    if (j.spec.job_class != kNone) {
-        auto it =
-            std::find_if(job_class_profiles.begin(), job_class_profiles.end(),
-                         [&](const JobClassProfile& s) { return s.job_class == j.spec.job_class; });
-        if (it == job_class_profiles.end()) {
-            it = job_class_profiles.insert(job_class_profiles.end(), JobClassProfile{});
-        }
-        *it = {j.spec.job_class, j.spec, now};
+    Id job_id = free_jobs_.back();
+    free_jobs_.pop_back();
+    jobs[job_id] = Job{};
+    return job_id;
+}
+
+void ClusterState::update_job_class_profile(const JobSpec& spec, Ms now) {
+    if (spec.job_class == kNone) {
+        return;
     }
-    j.placement_records.resize((j.spec.tasks + j.spec.tasks_per_record - 1) /
-                               j.spec.tasks_per_record);
-    job_ids_[j.spec.id] = id;
-    return id;
+    auto profile = std::find_if(
+        job_class_profiles.begin(), job_class_profiles.end(),
+        [&](const JobClassProfile& known) { return known.job_class == spec.job_class; });
+    if (profile == job_class_profiles.end()) {
+        profile = job_class_profiles.insert(job_class_profiles.end(), JobClassProfile{});
+    }
+    *profile = {spec.job_class, spec, now};
+}
+
+Id ClusterState::add_job(const StoredJob& stored_job, Ms now) {
+    Id job_id = allocate_job();
+    Job& job = jobs[job_id];
+    job.spec = stored_job.record.spec;
+    job.version = stored_job.version;
+    job.created_version = stored_job.created_version;
+    job.cancelled = stored_job.record.cancelled;
+    job.known_since = now;
+    job.waiting_since = now;
+    job.start_deadline = now + start_budget(job.spec);
+    update_job_class_profile(job.spec, now);
+    job.placement_records.resize((job.spec.tasks + job.spec.tasks_per_record - 1) /
+                                 job.spec.tasks_per_record);
+    job_ids_[job.spec.id] = job_id;
+    return job_id;
 }
 
 void ClusterState::remove_job(Id id) {
-    Job& j = jobs[id];
-    bool ended_well = j.done == j.spec.tasks;
-    for (std::uint32_t c = 0; c < j.placement_records.size(); ++c) {
-        if (!j.placement_records[c]) {
+    Job& job = jobs[id];
+    bool completed = job.done == job.spec.tasks;
+    for (std::uint32_t index = 0; index < job.placement_records.size(); ++index) {
+        if (!job.placement_records[index]) {
             continue;
         }
-        for (std::uint32_t i = 0; i < j.placement_records[c]->tasks.size(); ++i) {
-            unassign({id, c * j.spec.tasks_per_record + i});
+        for (std::uint32_t i = 0; i < job.placement_records[index]->tasks.size(); ++i) {
+            unassign({id, index * job.spec.tasks_per_record + i});
         }
     }
-    for (std::uint32_t c = 0; c < j.placement_records.size(); ++c) {
-        dirty.erase({id, c});
+    for (std::uint32_t index = 0; index < job.placement_records.size(); ++index) {
+        dirty.erase({id, index});
     }
-    job_ids_.erase(j.spec.id);
+    job_ids_.erase(job.spec.id);
     jobs[id] = Job{};
     jobs[id].alive = false;
     free_jobs_.push_back(id);
-    for (Machine& m : machines) {
-        m.health.failed_jobs_done_elsewhere += m.health.failing_jobs.erase(id) > 0 && ended_well;
+    for (Machine& machine : machines) {
+        MachineHealth& health = machine.health;
+        health.failed_jobs_done_elsewhere += health.failing_jobs.erase(id) > 0 && completed;
     }
 }
 
 Id ClusterState::find_machine(const std::string& name) const {
-    auto it = machine_ids_.find(name);
-    return it == machine_ids_.end() ? kNone : it->second;
+    auto found = machine_ids_.find(name);
+    return found == machine_ids_.end() ? kNone : found->second;
 }
 
 Id ClusterState::add_machine(const std::string& name, Id machine_type, Id zone, bool spot, Ms now) {
@@ -94,55 +123,55 @@
         return id;
     }
     id = static_cast<Id>(machines.size());
-    Machine m;
-    m.name = name;
-    m.machine_type = machine_type;
-    m.zone = zone;
-    m.spot = spot;
-    m.known_since = now;
-    m.requested_at = now;
-    m.idle_since = now;
-    machines.push_back(std::move(m));
+    Machine machine;
+    machine.name = name;
+    machine.machine_type = machine_type;
+    machine.zone = zone;
+    machine.spot = spot;
+    machine.known_since = now;
+    machine.requested_at = now;
+    machine.idle_since = now;
+    machines.push_back(std::move(machine));
     machine_ids_[name] = id;
     return id;
 }
 
 void ClusterState::forget_machine(Id id) {
-    Machine& m = machines[id];
-    m.terminated = true;
-    m.registered = false;
-    m.images.clear();
-    machine_ids_.erase(m.name);
+    Machine& machine = machines[id];
+    machine.terminated = true;
+    machine.registered = false;
+    machine.images.clear();
+    machine_ids_.erase(machine.name);
 }
 
-std::uint32_t ClusterState::slots(const JobSpec& s, Id machine_type, Id zone, bool spot,
+std::uint32_t ClusterState::slots(const JobSpec& spec, Id machine_type, Id zone, bool spot,
                                   const Resources& free) {
-    if (!s.allows_machine_type(machine_type) || (s.zone != kNone && s.zone != zone) ||
-        (spot && !s.spot)) {
+    if (!spec.allows_machine_type(machine_type) || (spec.zone != kNone && spec.zone != zone) ||
+        (spot && !spec.spot)) {
         return 0;
     }
-    double n = 1000;
-    for (int r = 0; r < kResources; ++r) {
-        double each = s.each.get(r);
+    double slots = kMaxSlots;
+    for (int resource = 0; resource < kResources; ++resource) {
+        double each = spec.each.get(resource);
         if (each > 0) {
-            n = std::min(n, std::floor((free.get(r) + 1e-6) / each));
+            slots = std::min(slots, std::floor((free.get(resource) + kRoundingSlack) / each));
         }
     }
-    return n <= 0 ? 0 : static_cast<std::uint32_t>(n);
+    return slots <= 0 ? 0 : static_cast<std::uint32_t>(slots);
 }
 
 std::uint32_t ClusterState::record_size(const JobSpec& spec, std::uint32_t index) const {
     return std::min(spec.tasks_per_record, spec.tasks - index * spec.tasks_per_record);
 }
 
-PlacementRecord& ClusterState::placement_record(Id job, std::uint32_t index) {
-    Job& j = jobs[job];
-    auto& slot = j.placement_records.at(index);
-    if (!slot) {
-        slot = std::make_unique<PlacementRecord>();
-        slot->tasks.resize(record_size(j.spec, index));
-    }
-    return *slot;
+PlacementRecord& ClusterState::placement_record(Id job_id, std::uint32_t index) {
+    Job& job = jobs[job_id];
+    auto& record = job.placement_records.at(index);
+    if (!record) {
+        record = std::make_unique<PlacementRecord>();
+        record->tasks.resize(record_size(job.spec, index));
+    }
+    return *record;
 }
 
 PlacementRecord& ClusterState::placement_record_of(TaskRef ref) {
@@ -156,9 +185,10 @@
 int ClusterState::image_fetches_in_progress(const Machine& machine) {
     std::vector<Id> images;
     for (TaskRef ref : machine.tasks) {
-        const Task& t = task(ref);
-        bool fetches = t.state == TaskState::pulling || t.phase == TaskPhase::assigned ||
-                       t.phase == TaskPhase::dispatched;
+        const Task& assigned = task(ref);
+        bool fetches = assigned.state == TaskState::pulling ||
+                       assigned.phase == TaskPhase::assigned ||
+                       assigned.phase == TaskPhase::dispatched;
         Id image = jobs[ref.job].spec.image;
         if (fetches && image != kNone &&
             std::find(images.begin(), images.end(), image) == images.end()) {
@@ -168,115 +198,113 @@
     return static_cast<int>(images.size());
 }
 
-void ClusterState::assign(TaskRef ref, Id machine, std::uint32_t attempt, Ms now) {
-    Job& j = jobs[ref.job];
-    Task& t = task(ref);
-    t.attempt = attempt;
-    t.machine = machine;
-    t.phase = TaskPhase::assigned;
-    t.state = TaskState::unknown;
-    t.inherited = false;
-    t.stopping = false;
-    t.rerun = false;
-    t.failure_not_counted = false;
-    t.stop_sent_at = -1;
-    t.running_since = -1;
-    t.since = now;
-    Machine& m = machines[machine];
-    m.used += j.spec.each;
-    m.tasks.insert(ref);
-    if (j.spec.image != kNone) {
-        m.images[j.spec.image] = now;
+void ClusterState::add_team_usage(Id team, const Resources& amount) {
+    if (team < used_.size()) {
+        used_[team] += amount;
     }
-    ++j.assigned;
-    ++j.zones[m.zone];
-    if (j.spec.team < used_.size()) {
-        used_[j.spec.team] += j.spec.each;
+}
+
+void ClusterState::remove_team_usage(Id team, const Resources& amount) {
+    if (team < used_.size()) {
+        used_[team] -= amount;
     }
+}
+
+void ClusterState::assign(TaskRef ref, Id machine_id, std::uint32_t attempt, Ms now) {
+    Job& job = jobs[ref.job];
+    Task& assigned = task(ref);
+    assigned.attempt = attempt;
+    assigned.machine = machine_id;
+    assigned.phase = TaskPhase::assigned;
+    assigned.state = TaskState::unknown;
+    assigned.inherited = false;
+    assigned.stopping = false;
+    assigned.rerun = false;
+    assigned.failure_not_counted = false;
+    assigned.stop_sent_at = -1;
+    assigned.running_since = -1;
+    assigned.since = now;
+    Machine& machine = machines[machine_id];
+    machine.used += job.spec.each;
+    machine.tasks.insert(ref);
+    if (job.spec.image != kNone) {
+        machine.images[job.spec.image] = now;
+    }
+    ++job.assigned;
+    ++job.zones[machine.zone];
+    add_team_usage(job.spec.team, job.spec.each);
     mark_dirty(ref);
 }
 
 void ClusterState::unassign(TaskRef ref) {
-    Task& t = task(ref);
-    if (t.machine == kNone) {
+    Task& assigned = task(ref);
+    if (assigned.machine == kNone) {
         return;
     }
-    Job& j = jobs[ref.job];
-    Machine& m = machines[t.machine];
-    m.used -= j.spec.each;
-    m.tasks.erase(ref);
-    if (m.tasks.empty()) {
-        m.used = {};
+    Job& job = jobs[ref.job];
+    Machine& machine = machines[assigned.machine];
+    machine.used -= job.spec.each;
+    machine.tasks.erase(ref);
+    if (machine.tasks.empty()) {
+        machine.used = {};  // without what rounding has left
     }
-    --j.assigned;
-    if (--j.zones[m.zone] == 0) {
-        j.zones.erase(m.zone);
+    --job.assigned;
+    if (--job.zones[machine.zone] == 0) {
+        job.zones.erase(machine.zone);
     }
-    if (j.spec.team < used_.size()) {
-        used_[j.spec.team] -= j.spec.each;
-    }
-    t.machine = kNone;
-    t.stopping = false;
+    remove_team_usage(job.spec.team, job.spec.each);
+    assigned.machine = kNone;
+    assigned.stopping = false;
     mark_dirty(ref);
 }
 
 void ClusterState::requeue(TaskRef ref, Ms now) {
     Id machine = task(ref).machine;
     unassign(ref);
-    Task& t = task(ref);
-    if (t.phase == TaskPhase::done || t.phase == TaskPhase::pending) {
+    Task& requeued = task(ref);
+    if (requeued.phase == TaskPhase::done || requeued.phase == TaskPhase::pending) {
         return;
     }
-    t.phase = TaskPhase::pending;
-    t.since = now;
-    Job& j = jobs[ref.job];
-    if (j.waiting() == 0) {
-        j.waiting_since = now;
+    requeued.phase = TaskPhase::pending;
+    requeued.since = now;
+    Job& job = jobs[ref.job];
+    if (job.waiting() == 0) {
+        job.waiting_since = now;
     }
-    j.retry_queue.push_back(ref.task);
+    job.retry_queue.push_back(ref.task);
     if (machine != kNone) {
-        j.interrupted_in = machines[machine].zone;
-        j.interrupted_at = now;
+        job.interrupted_in = machines[machine].zone;
+        job.interrupted_at = now;
     }
 }
 
 void ClusterState::mark_done(TaskRef ref) {
     unassign(ref);
-    Task& t = task(ref);
-    if (t.phase == TaskPhase::done) {
+    Task& completed = task(ref);
+    if (completed.phase == TaskPhase::done) {
         return;
     }
-    if (t.phase == TaskPhase::pending) {
-        // It came back done while it waited to be placed again.
+    if (completed.phase == TaskPhase::pending) {
+        // It was reported done while it waited to be placed again.
         auto& retry_queue = jobs[ref.job].retry_queue;
-        auto it = std::find(retry_queue.begin(), retry_queue.end(), ref.task);
-        if (it == retry_queue.end()) {
+        auto queued = std::find(retry_queue.begin(), retry_queue.end(), ref.task);
+        if (queued == retry_queue.end()) {
             return;
         }
-        retry_queue.erase(it);
+        retry_queue.erase(queued);
     }
-    t.phase = TaskPhase::done;
+    completed.phase = TaskPhase::done;
     ++jobs[ref.job].done;
     mark_dirty(ref);
 }
 
-namespace {
-std::uint32_t room(double limit, double used, double each) {
-    if (limit <= 0 || each <= 0) {
-        return 0xffffffffU;
-    }
-    double n = std::floor((limit - used + 1e-6) / each);
-    return n <= 0 ? 0 : static_cast<std::uint32_t>(std::min(n, 4e9));
-}
-}  // namespace
-
 std::uint32_t ClusterState::quota_headroom(Id team, const Resources& each) const {
     if (team >= teams_.size()) {
         return 0;
     }
-    const Resources& limit = teams_[team].quota;
-    return std::min(room(limit.cpus, used_[team].cpus, each.cpus),
-                    room(limit.gpus, used_[team].gpus, each.gpus));
+    const Resources& quota = teams_[team].quota;
+    return std::min(headroom(quota.cpus, used_[team].cpus, each.cpus),
+                    headroom(quota.gpus, used_[team].gpus, each.gpus));
 }
 
 bool ClusterState::within_quota(Id team, const Resources& more) const {
@@ -287,118 +315,10 @@
     if (team >= teams_.size()) {
         return false;
     }
-    const Resources& g = teams_[team].guaranteed_share;
+    const Resources& share = teams_[team].guaranteed_share;
     Resources total = used_[team] + more;
-    return total.cpus <= g.cpus + 1e-6 && (more.gpus <= 0 || total.gpus <= g.gpus + 1e-6);
-}
-
-std::vector<TaskRecord> ClusterState::snapshot(Id job, std::uint32_t index) const {
-    const Job& j = jobs[job];
-    std::vector<TaskRecord> records(record_size(j.spec, index));
-    const auto& slot = j.placement_records.at(index);
-    if (!slot) {
-        return records;
-    }
-    for (std::size_t i = 0; i < records.size(); ++i) {
-        const Task& t = slot->tasks[i];
-        records[i].attempt = t.attempt;
-        records[i].done = t.phase == TaskPhase::done;
-        if (!records[i].done && t.machine != kNone) {
-            records[i].machine = machines[t.machine].name;
-        }
-    }
-    return records;
-}
-
-bool ClusterState::durable(Id job, std::uint32_t index) const {
-    const auto& slot = jobs[job].placement_records.at(index);
-    if (!slot) {
-        return true;
-    }
-    return std::all_of(slot->tasks.begin(), slot->tasks.end(), [](const Task& t) {
-        bool done = t.phase == TaskPhase::done;
-        if (t.write_outcome_unknown || done != t.durable_done) {
-            return false;
-        }
-        return done || (t.machine == t.durable_machine && t.attempt == t.durable_attempt);
-    });
-}
-
-void ClusterState::mark_write_started(Id job, std::uint32_t index,
-                                      const std::vector<TaskRecord>& written) {
-    PlacementRecord& c = placement_record(job, index);
-    for (std::size_t i = 0; i < c.tasks.size(); ++i) {
-        Task& t = c.tasks[i];
-        Id machine = written[i].machine.empty() ? kNone : find_machine(written[i].machine);
-        if (t.durable_attempt != written[i].attempt || t.durable_done != written[i].done ||
-            t.durable_machine != machine) {
-            t.write_outcome_unknown = true;
-        }
-    }
-}
-
-void ClusterState::commit(Id job, std::uint32_t index, const std::vector<TaskRecord>& stored,
-                          std::uint64_t version) {
-    PlacementRecord& c = placement_record(job, index);
-    c.version = version;
-    for (std::size_t i = 0; i < c.tasks.size() && i < stored.size(); ++i) {
-        Task& t = c.tasks[i];
-        t.durable_attempt = stored[i].attempt;
-        t.durable_done = stored[i].done;
-        t.write_outcome_unknown = false;
-        t.durable_machine = stored[i].machine.empty() ? kNone : find_machine(stored[i].machine);
-    }
-}
-
-void ClusterState::load_job(const StoredJob& stored_job,
-                            const std::map<std::uint32_t, StoredValue>* placement_records, Ms now) {
-    Id job = add_job(stored_job, now);
-    if (!placement_records) {
-        return;
-    }
-    Job& j = jobs[job];
-    for (const auto& [index, stored] : *placement_records) {
-        if (index >= j.placement_records.size()) {
-            continue;
-        }
-        PlacementRecord& c = placement_record(job, index);
-        std::vector<TaskRecord> records(c.tasks.size());
-        if (!decode_placement_record(stored.value, records)) {
-            continue;
-        }
-        for (std::uint32_t i = 0; i < records.size(); ++i) {
-            const TaskRecord& r = records[i];
-            TaskRef ref{job, index * j.spec.tasks_per_record + i};
-            Task& t = c.tasks[i];
-            t.attempt = r.attempt;
-            if (r.done) {
-                t.phase = TaskPhase::done;
-                ++j.done;
-            } else if (!r.machine.empty()) {
-                Id m = find_machine(r.machine);
-                if (m == kNone) {
-                    // Its machine has left the registry: a return was answered, so it is gone.
-                    t.phase = TaskPhase::pending;
-                } else {
-                    assign(ref, m, r.attempt, now);
-                    t.inherited = true;
-                }
-            }
-        }
-        commit(job, index, records, stored.version);
-        dirty.erase({job, index});
-    }
-    // What is neither done nor placed waits. Everything beyond the last known chunk is fresh.
-    std::uint32_t known = placement_records->empty()
-                              ? 0
-                              : std::min(j.spec.tasks, (placement_records->rbegin()->first + 1) *
-                                                           j.spec.tasks_per_record);
-    j.next_unassigned = known;
-    for (std::uint32_t i = 0; i < known; ++i) {
-        if (task({job, i}).phase == TaskPhase::pending) {
-            j.retry_queue.push_back(i);
-        }
-    }
+    return total.cpus <= share.cpus + kRoundingSlack &&
+           (more.gpus <= 0 || total.gpus <= share.gpus + kRoundingSlack);
 }
 
 }  // namespace walkford
--- /dev/null
+++ b/src/bookkeeping/job_record.cpp
@@ -0,0 +1,162 @@
+#include "bookkeeping/job_record.hpp"
+
+#include <algorithm>
+
+namespace walkford {
+
+namespace {
+// Fields of a stored job.
+constexpr const char* kStatus = "s";
+// Version 0.3.0 reads the number of tasks from `n` and takes any job that is no gang for an array,
+// which ends. A service names its number `N`: that version can't read the record, so that it never
+// runs a service as an array.
+constexpr const char* kTasks = "n";
+constexpr const char* kReplicas = "N";
+constexpr const char* kTasksPerRecord = "c";
+constexpr const char* kTeam = "o";
+constexpr const char* kJobClass = "l";
+constexpr const char* kPriority = "p";
+constexpr const char* kFlags = "f";
+constexpr const char* kResourcesEach = "r";  // cores, GPUs, memory
+constexpr const char* kTimes = "t";          // estimate, checkpoint interval and duration, deadline
+constexpr const char* kMachineTypes = "k";
+constexpr const char* kZone = "z";
+constexpr const char* kImage = "i";  // name, size in GB
+
+// Values of kStatus.
+constexpr const char* kStatusActive = "a";
+constexpr const char* kStatusCancelled = "c";
+
+// Bits of kFlags.
+constexpr int kFlagGang = 1;
+constexpr int kFlagOneZone = 2;
+constexpr int kFlagSpread = 4;
+constexpr int kFlagSpot = 8;
+constexpr int kFlagService = 16;
+
+const char* count_field(const JobSpec& spec) { return spec.service() ? kReplicas : kTasks; }
+
+int encode_flags(const JobSpec& spec) {
+    int flags = 0;
+    flags |= spec.gang() ? kFlagGang : 0;
+    flags |= spec.one_zone ? kFlagOneZone : 0;
+    flags |= spec.spread ? kFlagSpread : 0;
+    flags |= spec.spot ? kFlagSpot : 0;
+    flags |= spec.service() ? kFlagService : 0;
+    return flags;
+}
+
+JobShape decode_shape(int flags) {
+    if ((flags & kFlagService) != 0) {
+        return JobShape::service;
+    }
+    return (flags & kFlagGang) != 0 ? JobShape::gang : JobShape::array;
+}
+
+Priority decode_priority(int priority) {
+    constexpr int kLowest = static_cast<int>(Priority::best_effort);
+    constexpr int kHighest = static_cast<int>(Priority::production);
+    return static_cast<Priority>(std::clamp(priority, kLowest, kHighest));
+}
+
+void encode_constraints(const JobSpec& spec, const Names& names, Json& value) {
+    if (!spec.any_machine_type) {
+        Json machine_types = Json::array();
+        for (Id machine_type : spec.machine_types) {
+            machine_types.push_back(names.machine_types.name(machine_type));
+        }
+        value[kMachineTypes] = std::move(machine_types);
+    }
+    if (spec.zone != kNone) {
+        value[kZone] = names.zones.name(spec.zone);
+    }
+    if (spec.image != kNone) {
+        value[kImage] = Json::array({names.images.name(spec.image), spec.image_gb});
+    }
+}
+
+void decode_constraints(const Json& value, Names& names, JobSpec& spec) {
+    if (value.contains(kMachineTypes)) {
+        spec.any_machine_type = false;
+        for (const Json& machine_type : value[kMachineTypes]) {
+            spec.machine_types.push_back(
+                names.machine_types.intern(machine_type.get<std::string>()));
+        }
+    }
+    if (value.contains(kZone)) {
+        spec.zone = names.zones.intern(value[kZone].get<std::string>());
+    }
+    if (value.contains(kImage)) {
+        const Json& image = value[kImage];
+        spec.image = names.images.intern(image.at(0).get<std::string>());
+        spec.image_gb = image.at(1).get<double>();
+    }
+}
+
+void decode_amounts(const Json& value, JobSpec& spec) {
+    const Json& each = value.at(kResourcesEach);
+    spec.each = {each.at(0).get<double>(), each.at(1).get<double>(), each.at(2).get<double>()};
+    const Json& times = value.at(kTimes);
+    spec.estimate_s = times.at(0).get<double>();
+    spec.checkpoint_interval_s = times.at(1).get<double>();
+    spec.checkpoint_duration_s = times.at(2).get<double>();
+    spec.deadline_s = times.at(3).get<double>();
+}
+}  // namespace
+
+Json encode_cancelled_job(const JobSpec& spec, const Names& names) {
+    JobSpec shortened = spec;
+    shortened.job_class = kNone;
+    shortened.any_machine_type = true;
+    shortened.machine_types.clear();
+    shortened.image = kNone;
+    return encode_job({std::move(shortened), true}, names);
+}
+
+Json encode_job(const JobRecord& job, const Names& names) {
+    const JobSpec& spec = job.spec;
+    Json value = Json::object();
+    value[kStatus] = job.cancelled ? kStatusCancelled : kStatusActive;
+    value[count_field(spec)] = spec.tasks;
+    value[kTasksPerRecord] = spec.tasks_per_record;
+    value[kTeam] = names.teams.name(spec.team);
+    if (spec.job_class != kNone) {
+        value[kJobClass] = names.job_classes.name(spec.job_class);
+    }
+    value[kPriority] = static_cast<int>(spec.priority);
+    value[kFlags] = encode_flags(spec);
+    value[kResourcesEach] = Json::array({spec.each.cpus, spec.each.gpus, spec.each.ram});
+    value[kTimes] = Json::array(
+        {spec.estimate_s, spec.checkpoint_interval_s, spec.checkpoint_duration_s, spec.deadline_s});
+    encode_constraints(spec, names, value);
+    return value;
+}
+
+std::optional<JobRecord> decode_job(const std::string& id, const Json& value, Names& names) {
+    try {
+        JobRecord job;
+        job.cancelled = value.at(kStatus).get<std::string>() == kStatusCancelled;
+        JobSpec& spec = job.spec;
+        spec.id = id;
+        int flags = value.at(kFlags).get<int>();
+        spec.shape = decode_shape(flags);
+        spec.tasks = value.at(count_field(spec)).get<std::uint32_t>();
+        spec.tasks_per_record =
+            std::max<std::uint32_t>(1, value.at(kTasksPerRecord).get<std::uint32_t>());
+        spec.team = names.teams.intern(value.at(kTeam).get<std::string>());
+        if (value.contains(kJobClass)) {
+            spec.job_class = names.job_classes.intern(value[kJobClass].get<std::string>());
+        }
+        spec.priority = decode_priority(value.at(kPriority).get<int>());
+        spec.one_zone = (flags & kFlagOneZone) != 0;
+        spec.spread = (flags & kFlagSpread) != 0;
+        spec.spot = (flags & kFlagSpot) != 0;
+        decode_amounts(value, spec);
+        decode_constraints(value, names, spec);
+        return job;
+    } catch (const Json::exception&) {
+        return std::nullopt;
+    }
+}
+
+}  // namespace walkford
--- /dev/null
+++ b/src/bookkeeping/stored_keys.cpp
@@ -0,0 +1,69 @@
+#include "bookkeeping/stored_keys.hpp"
+
+#include <algorithm>
+#include <charconv>
+#include <string_view>
+
+namespace walkford {
+
+namespace keys {
+namespace {
+std::optional<std::uint32_t> parse_index(std::string_view digits) {
+    std::uint32_t index = 0;
+    const char* end = digits.data() + digits.size();
+    auto [rest, error] = std::from_chars(digits.data(), end, index);
+    if (error != std::errc() || rest != end) {
+        return std::nullopt;
+    }
+    return index;
+}
+}  // namespace
+
+std::string placement_record(const std::string& job, std::uint32_t index) {
+    return kTasks + job + "/" + std::to_string(index);
+}
+
+std::string registry_part(std::uint32_t index) {
+    return index == 0 ? kRegistry : kRegistryParts + std::to_string(index);
+}
+
+std::optional<std::uint32_t> parse_registry_part(const std::string& key) {
+    if (key == kRegistry) {
+        return 0;
+    }
+    if (key.rfind(kRegistryParts, 0) != 0) {
+        return std::nullopt;
+    }
+    return parse_index(std::string_view(key).substr(kRegistryParts.size()));
+}
+
+std::optional<std::pair<std::string, std::uint32_t>> parse_placement_record(
+    const std::string& key) {
+    if (key.rfind(kTasks, 0) != 0) {
+        return std::nullopt;
+    }
+    auto slash = key.rfind('/');
+    if (slash <= kTasks.size()) {
+        return std::nullopt;
+    }
+    auto index = parse_index(std::string_view(key).substr(slash + 1));
+    if (!index) {
+        return std::nullopt;
+    }
+    return std::pair{key.substr(kTasks.size(), slash - kTasks.size()), *index};
+}
+}  // namespace keys
+
+bool job_id_ok(const std::string& id) {
+    constexpr std::size_t kMinLength = 3;
+    constexpr std::size_t kMaxLength = 62;
+    if (id.size() < kMinLength || id.size() > kMaxLength || id.rfind("j-", 0) != 0) {
+        return false;
+    }
+    return std::all_of(id.begin() + 2, id.end(), [](unsigned char letter) {
+        return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
+               (letter >= '0' && letter <= '9') || letter == '-' || letter == '_';
+    });
+}
+
+}  // namespace walkford
--- /dev/null
+++ b/src/bookkeeping/stored_keys.hpp
@@ -0,0 +1,53 @@
+// The keys under which records stand in the state service.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <utility>
+
+namespace walkford {
+
+namespace keys {
+inline const std::string kRoot = "w/";  // every key begins with it
+inline const std::string kLeader = "w/leader";
+inline const std::string kRegistry = "w/machines";
+inline const std::string kMachineTypes = "w/kinds";
+// Prefixes, each followed by what its key names.
+inline const std::string kJobs = "w/j/";           // id of a job
+inline const std::string kEnded = "w/d/";          // id of a job that is done or cancelled
+inline const std::string kTasks = "w/t/";          // id of a job, "/", index of the record
+inline const std::string kRegistryParts = "w/m/";  // index of the part
+inline const std::string kAnnouncements = "w/v/";  // name of a controller
+inline const std::string kRelays = "w/r/";         // name of a controller
+inline const std::string kZoneRecords = "w/z/";    // name of a zone
+
+// The key of the record of a zone that fails or recovers.
+inline std::string zone_record(const std::string& zone) { return kZoneRecords + zone; }
+// The key of a controller's relay record.
+inline std::string relay(const std::string& controller) { return kRelays + controller; }
+// The key of the feature level that a controller announces.
+inline std::string announcement(const std::string& controller) {
+    return kAnnouncements + controller;
+}
+// The key of a part of the machine registry. Part 0 is the registry's first value, which is all
+// there is while that one holds it.
+std::string registry_part(std::uint32_t index);
+// The index of a part of the registry; nothing where the key isn't one's.
+std::optional<std::uint32_t> parse_registry_part(const std::string& key);
+// The key of a job that is pending or running.
+inline std::string job(const std::string& id) { return kJobs + id; }
+// The key of a job that is done or cancelled.
+inline std::string ended(const std::string& id) { return kEnded + id; }
+// The key of a placement record of a job.
+std::string placement_record(const std::string& job, std::uint32_t index);
+
+// Splits the key of a placement record into job id and index; nothing where it isn't one's.
+std::optional<std::pair<std::string, std::uint32_t>> parse_placement_record(const std::string& key);
+}  // namespace keys
+
+// Whether a text can be the id of a job. Ids come from users and become part of a key: only `j-`
+// and up to 60 letters, digits, dashes and underscores.
+bool job_id_ok(const std::string& id);
+
+}  // namespace walkford
--- a/src/bookkeeping/stored_values.hpp
+++ b/src/bookkeeping/stored_values.hpp
@@ -8,9 +8,10 @@
 
 namespace walkford {
 
+// A key with its value, as the state service lists it or reports its change.
 struct StoreEntry {
     std::string key;
-    std::optional<Json> value;  // nothing: dropped
+    std::optional<Json> value;  // nothing: deleted
     std::uint64_t version = 0;
 };
 
@@ -20,10 +21,11 @@
     std::uint64_t version = 0;
 };
 
+// A job's record as it stands in the state service.
 struct StoredJob {
     JobRecord record;
     std::uint64_t version = 0;
-    std::uint64_t created_version = 0;  // the stamp it was first seen with: its age
+    std::uint64_t created_version = 0;  // the first version seen: the age of the job
 };
 
 }  // namespace walkford
