--- a/src/transport/event_types.hpp
+++ b/src/transport/event_types.hpp
@@ -1,4 +1,4 @@
-// Owning handles for libevent's objects.
+// Owning handles for libevent's objects, and conversions to its types.
 #pragma once
 
 #include <event2/buffer.h>
@@ -8,17 +8,20 @@
 #include <event2/http_struct.h>
 #include <event2/listener.h>
 
+#include <cstdint>
+#include <cstdlib>
 #include <memory>
 #include <string>
-#include <utility>
 
 namespace walkford::transport {
 
+// A deleter that calls one of libevent's functions.
 template <auto Free>
 struct FreeWith {
+    // Called by std::unique_ptr.
     template <typename T>
-    void operator()(T* p) const {
-        Free(p);
+    void operator()(T* object) const {
+        Free(object);
     }
 };
 using EventBase = std::unique_ptr<event_base, FreeWith<event_base_free>>;
@@ -28,10 +31,17 @@
 using Listener = std::unique_ptr<evconnlistener, FreeWith<evconnlistener_free>>;
 using BufferEvent = std::unique_ptr<bufferevent, FreeWith<bufferevent_free>>;
 
-inline timeval to_timeval(long ms) { return {ms / 1000, (ms % 1000) * 1000}; }
+// A span in milliseconds.
+inline timeval to_timeval(long span_ms) { return {span_ms / 1000, (span_ms % 1000) * 1000}; }
 
-// "10.0.0.1:8080"; the settings have been checked.
-inline std::pair<std::string, std::uint16_t> split_address(const std::string& address) {
+// An address, divided.
+struct HostAndPort {
+    std::string host;
+    std::uint16_t port = 0;
+};
+
+// Divides "10.0.0.1:8080"; the settings have been checked.
+inline HostAndPort split_address(const std::string& address) {
     auto colon = address.rfind(':');
     if (colon == std::string::npos) {
         return {address, 0};
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -12,12 +12,16 @@
 namespace walkford::transport {
 
 namespace {
-constexpr std::size_t kMostBody = std::size_t{64} * 1024;
-constexpr ssize_t kMostHeaders = ssize_t{8} * 1024;
-constexpr int kIdleSeconds = 30;
-
-protocol::Method method_of(evhttp_request* r) {
-    switch (evhttp_request_get_command(r)) {
+constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
+constexpr ssize_t kMaxHeaderBytes = ssize_t{8} * 1024;
+constexpr int kIdleTimeoutS = 30;
+constexpr std::size_t kMaxLoggedPath = 60;
+constexpr std::size_t kMinBacklog = 128;
+constexpr std::size_t kMaxBacklog = 4096;
+constexpr timeval kAcceptRetry{0, 50000};  // 50 ms
+
+protocol::Method method_of(evhttp_request* request) {
+    switch (evhttp_request_get_command(request)) {
         case EVHTTP_REQ_GET:
             return protocol::Method::get;
         case EVHTTP_REQ_POST:
@@ -61,26 +65,26 @@
     if (reply.retry_after_s > 0) {
         evhttp_add_header(headers, "Retry-After", std::to_string(reply.retry_after_s).c_str());
     }
-    evbuffer* out = evhttp_request_get_output_buffer(request);
-    evbuffer_add(out, reply.body.data(), reply.body.size());
+    evbuffer* output = evhttp_request_get_output_buffer(request);
+    evbuffer_add(output, reply.body.data(), reply.body.size());
     evhttp_send_reply(request, reply.code, reason(reply.code), nullptr);
 }
 }  // namespace
 
-HttpServer::HttpServer(event_base* base, const std::string& address, std::size_t most,
+HttpServer::HttpServer(event_base* base, const std::string& address, std::size_t max_connections,
                        Handler handler)
-    : http_(evhttp_new(base)), handler_(std::move(handler)), most_(most) {
+    : http_(evhttp_new(base)), handler_(std::move(handler)), max_connections_(max_connections) {
     if (!http_) {
         throw std::runtime_error("no memory for the HTTP server");
     }
     evhttp_set_allowed_methods(http_.get(), EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_PUT |
                                                 EVHTTP_REQ_DELETE | EVHTTP_REQ_HEAD |
                                                 EVHTTP_REQ_PATCH | EVHTTP_REQ_OPTIONS);
-    evhttp_set_max_headers_size(http_.get(), kMostHeaders);
+    evhttp_set_max_headers_size(http_.get(), kMaxHeaderBytes);
     // A little more than is allowed is read, so that it can be answered 400; beyond that the
-    // connection goes.
-    evhttp_set_max_body_size(http_.get(), 4 * kMostBody);
-    evhttp_set_timeout(http_.get(), kIdleSeconds);
+    // connection is closed.
+    evhttp_set_max_body_size(http_.get(), 4 * kMaxBodyBytes);
+    evhttp_set_timeout(http_.get(), kIdleTimeoutS);
     evhttp_set_gencb(http_.get(), on_request, this);
     auto [host, port] = split_address(address);
     sockaddr_in name{};
@@ -89,8 +93,9 @@
     if (inet_pton(AF_INET, host.c_str(), &name.sin_addr) != 1) {
         throw std::runtime_error("not an IPv4 address: " + address);
     }
-    // evhttp's own socket lets 128 wait; after an election two thousand workers come at once.
-    int backlog = static_cast<int>(std::min<std::size_t>(std::max<std::size_t>(most, 128), 4096));
+    // evhttp's own socket has a backlog of 128; after an election two thousand workers connect at
+    // once.
+    int backlog = static_cast<int>(std::clamp(max_connections, kMinBacklog, kMaxBacklog));
     Listener listener(evconnlistener_new_bind(
         base, nullptr, nullptr, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
         backlog, reinterpret_cast<sockaddr*>(&name), sizeof name));
@@ -108,12 +113,11 @@
     evconnlistener_set_error_cb(listener.release(), on_accept_error);  // the server's from now on
 }
 
-// No socket is left: the listener would be told again and again that somebody waits.
+// No file descriptor is left: the listener would fail again and again for the same connection.
 void HttpServer::on_accept_error(evconnlistener* listener, void*) {
     evconnlistener_disable(listener);
-    timeval soon{0, 50000};
     event_base_once(evconnlistener_get_base(listener), -1, EV_TIMEOUT, on_accept_again, listener,
-                    &soon);
+                    &kAcceptRetry);
 }
 
 void HttpServer::on_accept_again(evutil_socket_t, short, void* listener) {
@@ -121,100 +125,114 @@
 }
 
 HttpServer::~HttpServer() {
-    // Freeing the server closes its connections; none may call back into a half-gone object.
+    // Freeing the server closes its connections; none may call back into an object that is being
+    // destroyed.
     for (auto& [connection, info] : connections_) {
         evhttp_connection_set_closecb(connection, nullptr, nullptr);
     }
 }
 
 void HttpServer::on_request(evhttp_request* request, void* self) {
-    static_cast<HttpServer*>(self)->take(request);
+    static_cast<HttpServer*>(self)->receive(request);
 }
 
 void HttpServer::on_close(evhttp_connection* connection, void* self) {
     auto* server = static_cast<HttpServer*>(self);
     server->connections_.erase(connection);
-    for (auto it = server->open_.begin(); it != server->open_.end();) {
-        if (evhttp_request_get_connection(it->second) == connection) {
-            it = server->open_.erase(it);
-        } else {
-            ++it;
-        }
-    }
+    std::erase_if(server->open_, [connection](const auto& open) {
+        return evhttp_request_get_connection(open.second) == connection;
+    });
 }
 
-void HttpServer::take(evhttp_request* request) {
-    evhttp_connection* connection = evhttp_request_get_connection(request);
-    auto [it, fresh] = connections_.try_emplace(connection);
-    if (fresh) {
+// Notes the use of a connection; for a new one, another may be closed.
+HttpServer::Connection& HttpServer::track_connection(evhttp_request* request,
+                                                     std::string_view path) {
+    evhttp_connection* handle = evhttp_request_get_connection(request);
+    auto [entry, inserted] = connections_.try_emplace(handle);
+    Connection& connection = entry->second;
+    if (inserted) {
         ++accepted_;
-        evhttp_connection_set_closecb(connection, on_close, this);
+        evhttp_connection_set_closecb(handle, on_close, this);
     }
-    it->second.used = ++clock_;
-    const char* uri = evhttp_request_get_uri(request);
-    std::string_view path = uri ? uri : "";
+    connection.last_use = ++use_counter_;
     if (path.starts_with(protocol::worker_fields::kPathPrefix)) {
-        it->second.worker = true;
+        connection.worker = true;
     }
-    if (fresh) {
-        shed();
+    if (inserted) {
+        close_idle_connection();
     }
+    return connection;
+}
 
-    evbuffer* in = evhttp_request_get_input_buffer(request);
-    std::size_t size = evbuffer_get_length(in);
-    if (size > kMostBody) {
+void HttpServer::receive(evhttp_request* request) {
+    const char* uri = evhttp_request_get_uri(request);
+    std::string_view path = uri ? uri : "";
+    Connection& connection = track_connection(request, path);
+
+    evbuffer* input = evhttp_request_get_input_buffer(request);
+    std::size_t size = evbuffer_get_length(input);
+    if (size > kMaxBodyBytes) {
         send(request, protocol::error_reply(400, "body over 64 KiB"));
         return;
     }
     std::string_view body;
     if (size > 0) {
-        body = {reinterpret_cast<const char*>(evbuffer_pullup(in, -1)), size};
+        body = {reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), size};
     }
-    RequestId id = next_++;
+    RequestId id = next_request_id_++;
     protocol::ParsedRequest parsed = protocol::parse_request(id, method_of(request), path, body);
     if (auto* reply = std::get_if<protocol::HttpReply>(&parsed)) {
         if (reply->code == 400) {
-            spdlog::debug("refused {}: 400", std::string(path.substr(0, 60)));
+            spdlog::debug("refused {}: 400", std::string(path.substr(0, kMaxLoggedPath)));
         }
         send(request, *reply);
         return;
     }
     open_[id] = request;
-    ++it->second.open;
+    ++connection.open;
     handler_(std::move(std::get<Input>(parsed)));
 }
 
 void HttpServer::answer(RequestId id, const protocol::HttpReply& reply) {
-    auto it = open_.find(id);
-    if (it == open_.end()) {
-        return;  // its connection is gone
-    }
-    evhttp_request* request = it->second;
-    open_.erase(it);
-    auto c = connections_.find(evhttp_request_get_connection(request));
-    bool worker = c != connections_.end() && c->second.worker;
-    if (c != connections_.end() && c->second.open > 0) {
-        --c->second.open;
-    }
-    // With more workers than sockets, those who come while it is crowded connect anew each time:
-    // one that is closed with its answer loses nothing, one that is closed between two may be
-    // just about to report.
-    send(request, reply, worker && connections_.size() * 4 > most_ * 3);
+    auto found = open_.find(id);
+    if (found == open_.end()) {
+        return;  // its connection has been closed
+    }
+    evhttp_request* request = found->second;
+    open_.erase(found);
+    auto connection = connections_.find(evhttp_request_get_connection(request));
+    bool worker = connection != connections_.end() && connection->second.worker;
+    if (connection != connections_.end() && connection->second.open > 0) {
+        --connection->second.open;
+    }
+    // With more workers than sockets, those that come while three quarters of the connections are
+    // taken connect anew each time: a worker whose connection is closed with the response loses
+    // nothing, one whose connection is closed in between may be just about to report.
+    bool crowded = connections_.size() * 4 > max_connections_ * 3;
+    send(request, reply, worker && crowded);
 }
 
-// Sockets are few: the connection that has been idle longest goes first, a user's before a
-// worker's, so that peers, the state service and whoever is being answered always find room.
-void HttpServer::shed() {
-    if (connections_.size() <= most_) {
+// Sockets are few: the connection that has been idle longest is closed, a user's before a worker's,
+// so that there are always some for peers, the state service and whoever is being answered.
+void HttpServer::close_idle_connection() {
+    if (connections_.size() <= max_connections_) {
         return;
     }
     evhttp_connection* victim = nullptr;
-    std::pair<bool, std::uint64_t> oldest{true, clock_};
-    for (const auto& [connection, info] : connections_) {
-        // Never the one whose request is being taken: it is the last one used.
-        if (info.open == 0 && info.used < clock_ && std::pair{info.worker, info.used} < oldest) {
-            oldest = {info.worker, info.used};
-            victim = connection;
+    bool victim_is_worker = true;
+    std::uint64_t oldest_use = use_counter_;
+    for (const auto& [handle, connection] : connections_) {
+        // Never the one whose request is being received: it is the last one used.
+        if (connection.open > 0 || connection.last_use >= use_counter_) {
+            continue;
+        }
+        bool closed_before = connection.worker == victim_is_worker
+                                 ? connection.last_use < oldest_use
+                                 : !connection.worker;
+        if (closed_before) {
+            victim = handle;
+            victim_is_worker = connection.worker;
+            oldest_use = connection.last_use;
         }
     }
     if (victim) {
--- a/src/transport/main.cpp
+++ b/src/transport/main.cpp
@@ -1,3 +1,4 @@
+// The program: command line, settings, log; then the process runs until it is killed.
 #include <event2/event.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -18,21 +19,22 @@
 constexpr int kCannotServe = 1;
 
 void set_up_log(const std::string& controller) {
-    auto log = spdlog::stderr_logger_st(controller);
-    log->set_pattern("[%H:%M:%S.%e] [%n] [%l] %v");
+    auto logger = spdlog::stderr_logger_st(controller);
+    logger->set_pattern("[%H:%M:%S.%e] [%n] [%l] %v");
     const char* level = std::getenv("LOG_LEVEL");
     std::string name = level ? level : "info";
     bool known = name == "error" || name == "info" || name == "debug";
-    log->set_level(name == "error"   ? spdlog::level::err
-                   : name == "debug" ? spdlog::level::debug
-                                     : spdlog::level::info);
-    spdlog::set_default_logger(log);
+    logger->set_level(name == "error"   ? spdlog::level::err
+                      : name == "debug" ? spdlog::level::debug
+                                        : spdlog::level::info);
+    spdlog::set_default_logger(logger);
     if (!known) {
         spdlog::warn("LOG_LEVEL '{}' is not error, info or debug: info it is", name);
     }
 }
 
-std::string random_name() {
+// Tells this run of the process from all others.
+std::string random_incarnation() {
     std::random_device device;
     char text[17];
     std::snprintf(text, sizeof text, "%08x%08x", device(), device());
@@ -55,8 +57,8 @@
     app.set_version_flag("--version", std::string("walkford ") + WALKFORD_VERSION);
     try {
         app.parse(argc, argv);
-    } catch (const CLI::ParseError& e) {
-        int code = app.exit(e);
+    } catch (const CLI::ParseError& error) {
+        int code = app.exit(error);
         return code == 0 ? 0 : kBadSettings;
     }
 
@@ -67,8 +69,8 @@
         platform_settings = walkford::protocol::load_platform_settings(config, notes);
         operator_settings = walkford::protocol::load_operator_settings(properties, notes);
         walkford::protocol::note_unknown_classes(operator_settings, platform_settings, notes);
-    } catch (const std::exception& e) {
-        std::cerr << "walkford: " << e.what() << "\n";
+    } catch (const std::exception& error) {
+        std::cerr << "walkford: " << error.what() << "\n";
         return kBadSettings;
     }
     if (check) {
@@ -82,14 +84,14 @@
     for (const std::string& note : notes) {
         spdlog::warn("settings: {}", note);
     }
-    platform_settings.incarnation = random_name();
+    platform_settings.incarnation = random_incarnation();
     std::signal(SIGPIPE, SIG_IGN);
     try {
         walkford::transport::Process process(std::move(platform_settings),
                                              std::move(operator_settings));
         return process.run();
-    } catch (const std::exception& e) {
-        spdlog::error("{}", e.what());
+    } catch (const std::exception& error) {
+        spdlog::error("{}", error.what());
         return kCannotServe;
     }
 }
--- a/src/transport/peer_link.hpp
+++ b/src/transport/peer_link.hpp
@@ -1,4 +1,5 @@
-// Frames between controllers over TCP: one connection out to each peer, any number in.
+// Heartbeats between controllers over TCP: one outgoing connection to each peer, and the incoming
+// ones of the peers. Frames go one way only.
 #pragma once
 
 #include <functional>
@@ -12,10 +13,15 @@
 
 namespace walkford::transport {
 
+// Sends heartbeats to the peers and hands on those that come in. Delivery is best effort: a
+// heartbeat that can't be sent at once is dropped, as the next one replaces it.
 class PeerLink {
   public:
+    // Called with each heartbeat of a known peer, from the event loop.
     using Handler = std::function<void(PeerInput)>;
+    // Throws std::runtime_error where `listen` can't be listened on or an address is not valid.
     PeerLink(event_base* base, const std::string& listen, std::vector<Peer> peers, Handler handler);
+    // Sends a heartbeat, or begins to connect where there is no connection.
     void send(const PeerSend& message);
 
   private:
@@ -23,27 +29,29 @@
         PeerLink* link = nullptr;
         std::size_t peer = 0;
         BufferEvent buffer;
-        bool up = false;
-        int quiet = 0;  // sends since it was opened without being up
+        bool connected = false;
+        int attempted_sends = 0;  // since the connection was begun, while it was not connected
     };
     struct Incoming {
         PeerLink* link = nullptr;
         BufferEvent buffer;
-        std::list<Incoming>::iterator self;
+        std::list<Incoming>::iterator position;  // of this object, by which it is erased
     };
-    static void on_accept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self);
-    static void on_read(bufferevent*, void* incoming);
-    static void on_gone(bufferevent*, short what, void* incoming);
-    static void on_out_event(bufferevent*, short what, void* outgoing);
-    static void on_out_read(bufferevent*, void* outgoing);
-    void connect(Outgoing& o);
+    static void on_accept(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self);
+    static void on_incoming_read(bufferevent* buffer, void* incoming);
+    static void on_incoming_event(bufferevent*, short events, void* incoming);
+    static void on_outgoing_event(bufferevent*, short events, void* outgoing);
+    static void on_outgoing_read(bufferevent* buffer, void* outgoing);
+    void connect(Outgoing& outgoing);
+    void close(Incoming& incoming);
+    void deliver(PeerHeartbeat heartbeat);
 
     event_base* base_;
     std::vector<Peer> peers_;
     Handler handler_;
     Listener listener_;
-    std::vector<Outgoing> out_;
-    std::list<Incoming> in_;
+    std::vector<Outgoing> outgoing_;  // by the peer's index
+    std::list<Incoming> incoming_;
 };
 
 }  // namespace walkford::transport
--- a/src/transport/process.cpp
+++ b/src/transport/process.cpp
@@ -9,12 +9,20 @@
 namespace walkford::transport {
 
 namespace {
-constexpr long kStateTimeout = 1500;
-constexpr long kWatchTimeout = 24000;
-constexpr long kCloudTimeout = 4500;
-constexpr long kWorkerTimeout = 3000;
-// Commands to workers behind a cut wait for their end, and the others behind them.
-constexpr std::size_t kWorkerLines = 48;
+constexpr long kStoreTimeoutMs = 1500;
+constexpr long kWatchTimeoutMs = 24000;  // more than the store is asked to wait for changes
+constexpr long kCloudTimeoutMs = 4500;
+constexpr long kWorkerTimeoutMs = 3000;
+constexpr std::size_t kStoreConnections = 5;
+constexpr std::size_t kCloudConnections = 2;
+// Requests to workers in a partition keep their connections until the timeout; there must be others
+// left for the reachable workers.
+constexpr std::size_t kMinWorkerConnections = 48;
+constexpr Ms kWorkerConnectionIdleMs = 8000;
+// File descriptors for everything but users, workers and peers.
+constexpr std::size_t kOwnFds = 16;
+constexpr std::size_t kFdsPerPeer = 4;
+constexpr long kFirstWakeMs = 1;
 
 std::uint64_t random_seed() {
     std::random_device device;
@@ -41,27 +49,29 @@
             .count();
     });
     event_base* base = base_.get();
-    // Connections to state, cloud, workers and peers come first; users and workers get the rest.
-    most_worker_lines_ = std::max<std::size_t>(kWorkerLines, platform_settings_.fd_limit / 16);
-    std::size_t reserve = 16 + most_worker_lines_ + 4 * platform_settings_.peers.size();
-    std::size_t most = platform_settings_.fd_limit > 2 * reserve
-                           ? platform_settings_.fd_limit - reserve
-                           : platform_settings_.fd_limit / 2;
-    server_ = std::make_unique<HttpServer>(base, platform_settings_.serve_on, most,
+    // Connections to store, cloud, workers and peers come first; the server gets the rest.
+    max_worker_connections_ =
+        std::max<std::size_t>(kMinWorkerConnections, platform_settings_.fd_limit / 16);
+    std::size_t reserved_fds =
+        kOwnFds + max_worker_connections_ + kFdsPerPeer * platform_settings_.peers.size();
+    std::size_t max_served = platform_settings_.fd_limit > 2 * reserved_fds
+                                 ? platform_settings_.fd_limit - reserved_fds
+                                 : platform_settings_.fd_limit / 2;
+    server_ = std::make_unique<HttpServer>(base, platform_settings_.serve_on, max_served,
                                            [this](Input input) { receive(std::move(input)); });
     peers_ = std::make_unique<PeerLink>(base, platform_settings_.cluster_listen,
                                         platform_settings_.peers,
                                         [this](PeerInput input) { receive(std::move(input)); });
-    // Leases and watches wait behind nothing else.
-    state_lease_ =
-        std::make_unique<HttpClient>(base, platform_settings_.state, 1, kStateTimeout, true);
-    state_watch_ =
-        std::make_unique<HttpClient>(base, platform_settings_.state, 1, kWatchTimeout, true);
-    state_ = std::make_unique<HttpClient>(base, platform_settings_.state, 5, kStateTimeout, true);
-    cloud_ = std::make_unique<HttpClient>(base, platform_settings_.cloud, 2, kCloudTimeout, true);
-    wake_.reset(evtimer_new(base, on_wake, this));
-    timeval soon{0, 1000};
-    evtimer_add(wake_.get(), &soon);
+    const std::string& store = platform_settings_.state;
+    store_lease_client_ = std::make_unique<HttpClient>(base, store, 1, kStoreTimeoutMs, true);
+    store_watch_client_ = std::make_unique<HttpClient>(base, store, 1, kWatchTimeoutMs, true);
+    store_client_ =
+        std::make_unique<HttpClient>(base, store, kStoreConnections, kStoreTimeoutMs, true);
+    cloud_client_ = std::make_unique<HttpClient>(base, platform_settings_.cloud, kCloudConnections,
+                                                 kCloudTimeoutMs, true);
+    wake_timer_.reset(evtimer_new(base, on_wake, this));
+    timeval first_wake = to_timeval(kFirstWakeMs);
+    evtimer_add(wake_timer_.get(), &first_wake);
 }
 
 int Process::run() {
@@ -73,97 +83,113 @@
     return 1;
 }
 
-// All that came in during one turn of the event loop goes into one round of the core: under load a
-// turn brings many messages, and a round costs more than the message that it begins with.
+// All that came in during one turn of the event loop goes into one step of the controller: under
+// load a turn brings many messages, and a step costs more than a single message.
 void Process::finish_turn() {
-    work_.count_loop_turn();
+    work_counters_.count_loop_turn();
     while (!received_.empty()) {
         std::vector<Input> inputs = std::move(received_);
         received_.clear();
-        work_.count_core_round();
+        work_counters_.count_core_round();
         for (const Input& input : inputs) {
-            work_.count_input(input);
+            work_counters_.count_input(input);
         }
-        // A call that fails at once is received while the outputs are being carried out.
+        // A request that fails at once becomes an input while the outputs are being carried out.
         for (Output& output : controller_.step(now(), inputs)) {
-            work_.count_output(output);
+            work_counters_.count_output(output);
             route(output);
         }
     }
-    if (auto line = work_.finish_period(now(), server_->accepted())) {
+    if (auto line = work_counters_.finish_period(now(), server_->accepted())) {
         spdlog::debug("{}", *line);
     }
 }
 
 void Process::on_wake(evutil_socket_t, short, void* arg) {
     auto* self = static_cast<Process*>(arg);
-    Ms at = now();
-    std::erase_if(self->workers_, [at](const auto& line) {
-        return line.second.client->idle() && at > line.second.used + 8000;
-    });
+    self->close_idle_worker_connections();
     self->receive(TickInput{});
 }
 
+void Process::close_idle_worker_connections() {
+    Ms time = now();
+    std::erase_if(worker_connections_, [time](const auto& entry) {
+        const WorkerConnection& connection = entry.second;
+        return connection.client->idle() && time > connection.last_use + kWorkerConnectionIdleMs;
+    });
+}
+
 void Process::receive(Input input) { received_.push_back(std::move(input)); }
 
 void Process::route(Output& output) {
     std::visit(
-        [this](auto& o) {
-            using T = std::decay_t<decltype(o)>;
+        [this](auto& message) {
+            using T = std::decay_t<decltype(message)>;
             if constexpr (std::is_same_v<T, UserResponse> || std::is_same_v<T, HeartbeatResponse>) {
-                server_->answer(o.request, protocol::encode(o));
+                server_->answer(message.request, protocol::encode(message));
             } else if constexpr (std::is_same_v<T, StoreRequest>) {
-                call_state(std::move(o));
+                send_to_store(std::move(message));
             } else if constexpr (std::is_same_v<T, CloudRequest>) {
-                protocol::HttpCall http = protocol::encode(o);
-                cloud_->send(std::move(http), [this, call = o](int code, std::string_view body) {
-                    receive(protocol::decode_cloud_response(call, code, body, controller_.names()));
-                });
+                send_to_cloud(std::move(message));
             } else if constexpr (std::is_same_v<T, WorkerRequest>) {
-                call_worker(std::move(o));
+                send_to_worker(std::move(message));
             } else if constexpr (std::is_same_v<T, PeerSend>) {
-                peers_->send(o);
+                peers_->send(message);
             } else if constexpr (std::is_same_v<T, WakeAt>) {
-                Ms wait = std::max<Ms>(1, o.at - now());
-                timeval tv = to_timeval(wait);
-                evtimer_add(wake_.get(), &tv);
+                wake_at(message.at);
             }
         },
         output);
 }
 
-void Process::call_state(StoreRequest call) {
-    HttpClient* client = state_.get();
-    if (call.operation == StoreOperation::changes && call.wait_ms > 0) {
-        client = state_watch_.get();
-    }
-    if (call.operation == StoreOperation::lease_renew) {
-        client = state_lease_.get();
+void Process::wake_at(Ms time) {
+    timeval wait = to_timeval(std::max<Ms>(1, time - now()));
+    evtimer_add(wake_timer_.get(), &wait);
+}
+
+HttpClient& Process::store_client(const StoreRequest& request) {
+    if (request.operation == StoreOperation::lease_renew) {
+        return *store_lease_client_;
     }
-    protocol::HttpCall http = protocol::encode(call);
-    call.transaction = {};  // the answer is understood without it
-    client->send(std::move(http), [this, call = std::move(call)](int code, std::string_view body) {
-        receive(protocol::decode_store_response(call, code, body));
-    });
+    bool watch = request.operation == StoreOperation::changes && request.wait_ms > 0;
+    return watch ? *store_watch_client_ : *store_client_;
+}
+
+void Process::send_to_store(StoreRequest request) {
+    HttpClient& client = store_client(request);
+    protocol::HttpCall http = protocol::encode(request);
+    request.transaction = {};  // the response is decoded without it
+    client.send(std::move(http),
+                [this, request = std::move(request)](int code, std::string_view body) {
+                    receive(protocol::decode_store_response(request, code, body));
+                });
+}
+
+void Process::send_to_cloud(CloudRequest request) {
+    protocol::HttpCall http = protocol::encode(request);
+    cloud_client_->send(
+        std::move(http), [this, request = std::move(request)](int code, std::string_view body) {
+            receive(protocol::decode_cloud_response(request, code, body, controller_.names()));
+        });
 }
 
-void Process::call_worker(WorkerRequest call) {
-    auto it = workers_.find(call.address);
-    if (it == workers_.end()) {
-        if (workers_.size() >= most_worker_lines_) {
-            receive(WorkerResponse{call.call, WorkerCallStatus::no_response, std::nullopt});
+void Process::send_to_worker(WorkerRequest request) {
+    auto found = worker_connections_.find(request.address);
+    if (found == worker_connections_.end()) {
+        if (worker_connections_.size() >= max_worker_connections_) {
+            receive(WorkerResponse{request.call, WorkerCallStatus::no_response, std::nullopt});
             return;
         }
-        WorkerLine line;
-        line.client =
-            std::make_unique<HttpClient>(base_.get(), call.address, 1, kWorkerTimeout, false);
-        it = workers_.emplace(call.address, std::move(line)).first;
+        WorkerConnection connection;
+        connection.client =
+            std::make_unique<HttpClient>(base_.get(), request.address, 1, kWorkerTimeoutMs, false);
+        found = worker_connections_.emplace(request.address, std::move(connection)).first;
     }
-    it->second.used = now();
-    it->second.client->send(protocol::encode(call),
-                            [this, id = call.call](int code, std::string_view body) {
-                                receive(protocol::decode_worker_response(id, code, body));
-                            });
+    found->second.last_use = now();
+    found->second.client->send(protocol::encode(request),
+                               [this, call = request.call](int code, std::string_view body) {
+                                   receive(protocol::decode_worker_response(call, code, body));
+                               });
 }
 
 }  // namespace walkford::transport
--- a/src/transport/process.hpp
+++ b/src/transport/process.hpp
@@ -1,4 +1,4 @@
-// The running process: the core between its sockets and timers.
+// The running process: the controller, between its sockets and timers.
 #pragma once
 
 #include <map>
@@ -11,8 +11,12 @@
 
 namespace walkford::transport {
 
+// Owns the event loop, all connections and the controller. Everything runs on one thread: messages
+// become inputs, which are given to the controller at the end of a turn of the event loop, and its
+// outputs become requests, responses and timers.
 class Process {
   public:
+    // Throws std::runtime_error where an address can't be listened on.
     Process(PlatformSettings platform_settings, OperatorSettings operator_settings);
     // Runs until killed; returns only when the event loop fails.
     int run();
@@ -22,8 +26,12 @@
     void receive(Input input);
     void finish_turn();
     void route(Output& output);
-    void call_state(StoreRequest call);
-    void call_worker(WorkerRequest call);
+    void close_idle_worker_connections();
+    void send_to_store(StoreRequest request);
+    void send_to_cloud(CloudRequest request);
+    void send_to_worker(WorkerRequest request);
+    HttpClient& store_client(const StoreRequest& request);
+    void wake_at(Ms time);
     static void on_wake(evutil_socket_t, short, void* self);
     static Ms now();
 
@@ -32,19 +40,21 @@
     Controller controller_;
     std::unique_ptr<HttpServer> server_;
     std::unique_ptr<PeerLink> peers_;
-    std::unique_ptr<HttpClient> state_lease_;
-    std::unique_ptr<HttpClient> state_watch_;
-    std::unique_ptr<HttpClient> state_;
-    std::unique_ptr<HttpClient> cloud_;
-    struct WorkerLine {
+    // Lease renewals and watches wait behind no other request.
+    std::unique_ptr<HttpClient> store_lease_client_;
+    std::unique_ptr<HttpClient> store_watch_client_;
+    std::unique_ptr<HttpClient> store_client_;
+    std::unique_ptr<HttpClient> cloud_client_;
+    // The connection to a worker, for requests that go to it directly.
+    struct WorkerConnection {
         std::unique_ptr<HttpClient> client;
-        Ms used = 0;
+        Ms last_use = 0;
     };
-    std::map<std::string, WorkerLine> workers_;
-    std::size_t most_worker_lines_ = 0;
-    Event wake_;
+    std::map<std::string, WorkerConnection> worker_connections_;  // by address
+    std::size_t max_worker_connections_ = 0;
+    Event wake_timer_;
     std::vector<Input> received_;
-    WorkCounters work_;
+    WorkCounters work_counters_;
 };
 
 }  // namespace walkford::transport
--- a/src/transport/work_counters.hpp
+++ b/src/transport/work_counters.hpp
@@ -17,9 +17,13 @@
     // How long one period lasts.
     static constexpr Ms kPeriod = 10000;
 
+    // One turn of the event loop.
     void count_loop_turn() { ++loop_turns_; }
+    // One step of the controller.
     void count_core_round() { ++core_rounds_; }
+    // A message or a tick that the controller is given.
     void count_input(const Input& input) { ++inputs_[input.index()]; }
+    // A message or a timer that the controller asks for.
     void count_output(const Output& output);
 
     // Once a period is over: one line with all counts that are not zero. Starts the next period.
@@ -27,8 +31,8 @@
     std::optional<std::string> finish_period(Ms now, std::uint64_t connections);
 
   private:
-    static constexpr std::size_t kStoreOperations =
-        8;  // StoreOperation, with proofs apart from watches
+    // The values of StoreOperation, and watches apart from other reads of changes.
+    static constexpr std::size_t kStoreOperations = 8;
 
     std::uint64_t loop_turns_ = 0;
     std::uint64_t core_rounds_ = 0;
--- a/tests/loopback/zone_proxy.cpp
+++ b/tests/loopback/zone_proxy.cpp
@@ -21,7 +21,7 @@
     auto link = std::make_unique<Link>();
     link->proxy = this;
     link->from = boost::asio::ip::make_address_v4(from);
-    link->to = boost::asio::ip::make_address_v4(split_address(target).first);
+    link->to = boost::asio::ip::make_address_v4(split_address(target).host);
     link->target = target;
     sockaddr_in here = socket_address("127.0.0.1", 0);
     link->listener.reset(evconnlistener_new_bind(base_, on_accept, link.get(),
