--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -4,6 +4,7 @@
 #include <random>
 #include <set>
 
+#include "bookkeeping/records.hpp"
 #include "bookkeeping/registry_record.hpp"
 
 namespace walkford {
