--- a/src/coordination/zone_failover/displaced_work.cpp
+++ b/src/coordination/zone_failover/displaced_work.cpp
@@ -12,43 +12,44 @@
 }
 
 int EvacuationOrder::evacuation_position(Id job_class) const {
-    auto it = positions_.find(job_class);
-    return it == positions_.end() ? last_position() : it->second;
+    auto named = positions_.find(job_class);
+    return named == positions_.end() ? last_position() : named->second;
 }
 
-bool DisplacedWork::known(const ClusterState& cluster, Id job, const Entry& entry) const {
+bool DisplacedWork::is_same_job(const ClusterState& cluster, Id job,
+                                const DisplacedJob& displaced) {
     return job < cluster.jobs.size() && cluster.jobs[job].alive &&
-           cluster.jobs[job].spec.id == entry.name;
+           cluster.jobs[job].spec.id == displaced.name;
 }
 
 void DisplacedWork::mark(Ms now, const ClusterState& cluster, Id job, Id zone) {
     const JobSpec& spec = cluster.jobs[job].spec;
-    auto it = jobs_.find(job);
-    if (it != jobs_.end() && it->second.name == spec.id) {
+    auto marked = jobs_.find(job);
+    if (marked != jobs_.end() && marked->second.name == spec.id) {
         return;
     }
-    if (it != jobs_.end()) {
-        // Another job had that index, and ended within this round.
-        Tally& old = tallies_[{it->second.zone, it->second.job_class}];
-        --old.open;
-        ++old.ended;
+    if (marked != jobs_.end()) {
+        // Another job had that index, and ended since the last observation.
+        ClassProgress& old_progress = progress_[{marked->second.zone, marked->second.job_class}];
+        --old_progress.displaced;
+        ++old_progress.ended;
     }
     jobs_[job] = {spec.id, zone, spec.job_class, now};
-    Tally& tally = tallies_[{zone, spec.job_class}];
-    if (tally.open == 0 && tally.run_again == 0 && tally.ended == 0) {
-        tally.since = now;
+    ClassProgress& progress = progress_[{zone, spec.job_class}];
+    if (progress.displaced == 0 && progress.run_again == 0 && progress.ended == 0) {
+        progress.since = now;
     }
-    ++tally.open;
+    ++progress.displaced;
 }
 
 void DisplacedWork::forget_zone(Id zone) {
     std::erase_if(jobs_, [zone](const auto& entry) { return entry.second.zone == zone; });
-    std::erase_if(tallies_, [zone](const auto& entry) { return entry.first.first == zone; });
+    std::erase_if(progress_, [zone](const auto& entry) { return entry.first.zone == zone; });
 }
 
 bool DisplacedWork::contains(const ClusterState& cluster, Id job) const {
-    auto it = jobs_.find(job);
-    return it != jobs_.end() && known(cluster, job, it->second);
+    auto marked = jobs_.find(job);
+    return marked != jobs_.end() && is_same_job(cluster, job, marked->second);
 }
 
 int DisplacedWork::evacuation_position(const ClusterState& cluster, Id job) const {
@@ -61,36 +62,37 @@
 }
 
 Id DisplacedWork::zone_of(Id job) const {
-    auto it = jobs_.find(job);
-    return it == jobs_.end() ? kNone : it->second.zone;
+    auto marked = jobs_.find(job);
+    return marked == jobs_.end() ? kNone : marked->second.zone;
 }
 
 std::vector<Id> DisplacedWork::jobs() const {
     std::vector<Id> list;
-    for (const auto& [job, entry] : jobs_) {
+    for (const auto& [job, displaced] : jobs_) {
         list.push_back(job);
     }
-    std::stable_sort(list.begin(), list.end(), [this](Id a, Id b) {
-        return order_.evacuation_position(jobs_.at(a).job_class) <
-               order_.evacuation_position(jobs_.at(b).job_class);
+    std::stable_sort(list.begin(), list.end(), [this](Id left, Id right) {
+        return order_.evacuation_position(jobs_.at(left).job_class) <
+               order_.evacuation_position(jobs_.at(right).job_class);
     });
     return list;
 }
 
 // None of its tasks is counted in a zone that is lost still, none that had run waits, and all that
 // are placed run.
-bool DisplacedWork::runs_again(const ClusterState& cluster, Id job, Id lost_zone) {
-    const Job& j = cluster.jobs[job];
-    if (j.zones.count(lost_zone) > 0 || !j.retry_queue.empty() || j.assigned == 0) {
+bool DisplacedWork::runs_again(const ClusterState& cluster, Id job_id, Id lost_zone) {
+    const Job& job = cluster.jobs[job_id];
+    if (job.zones.count(lost_zone) > 0 || !job.retry_queue.empty() || job.assigned == 0) {
         return false;
     }
-    for (const auto& record : j.placement_records) {
+    for (const auto& record : job.placement_records) {
         if (!record) {
             continue;
         }
-        bool all_run = std::all_of(record->tasks.begin(), record->tasks.end(), [](const Task& t) {
-            return t.machine == kNone || t.state == TaskState::running;
-        });
+        bool all_run =
+            std::all_of(record->tasks.begin(), record->tasks.end(), [](const Task& task) {
+                return task.machine == kNone || task.state == TaskState::running;
+            });
         if (!all_run) {
             return false;
         }
@@ -100,28 +102,28 @@
 
 std::vector<DisplacedWork::ClassDone> DisplacedWork::collect_finished(Ms now, ClusterState& cluster,
                                                                       const std::set<Id>& failing) {
-    std::vector<ClassDone> settled;
-    for (auto it = jobs_.begin(); it != jobs_.end();) {
-        const auto& [job, entry] = *it;
-        bool ended = !known(cluster, job, entry) || cluster.jobs[job].cancelled;
-        Id lost_zone = failing.count(entry.zone) > 0 ? entry.zone : kNone;
+    std::vector<ClassDone> finished;
+    for (auto next = jobs_.begin(); next != jobs_.end();) {
+        const auto& [job, displaced] = *next;
+        bool ended = !is_same_job(cluster, job, displaced) || cluster.jobs[job].cancelled;
+        Id lost_zone = failing.count(displaced.zone) > 0 ? displaced.zone : kNone;
         bool again = !ended && runs_again(cluster, job, lost_zone);
         if (!ended && !again) {
-            ++it;
+            ++next;
             continue;
         }
-        Tally& tally = tallies_[{entry.zone, entry.job_class}];
-        --tally.open;
-        tally.run_again += again;
-        tally.ended += ended;
-        if (tally.open == 0) {
-            settled.push_back(
-                {entry.zone, entry.job_class, tally.run_again, tally.ended, now - tally.since});
-            tallies_.erase({entry.zone, entry.job_class});
+        ClassProgress& progress = progress_[{displaced.zone, displaced.job_class}];
+        --progress.displaced;
+        progress.run_again += again;
+        progress.ended += ended;
+        if (progress.displaced == 0) {
+            finished.push_back({displaced.zone, displaced.job_class, progress.run_again,
+                                progress.ended, now - progress.since});
+            progress_.erase({displaced.zone, displaced.job_class});
         }
-        it = jobs_.erase(it);
+        next = jobs_.erase(next);
     }
-    return settled;
+    return finished;
 }
 
 }  // namespace walkford
--- a/src/coordination/zone_failover/evacuation_reserve.hpp
+++ b/src/coordination/zone_failover/evacuation_reserve.hpp
@@ -1,5 +1,5 @@
-// Room kept in the surviving zones for displaced work of higher classes: lower work does not take
-// the places that it waits for.
+// Capacity reserved in the surviving zones for displaced work of higher classes: lower work does
+// not take the slots that it waits for.
 #pragma once
 
 #include <vector>
@@ -8,17 +8,19 @@
 
 namespace walkford {
 
+// The claims of displaced work, and the free slots that could serve them, within one round of
+// placement. Owned by ZoneAdmission.
 class EvacuationReserve {
   public:
-    // Work of one class that is to be placed: what one task takes, and how many there are.
+    // Work of one class that is to be placed.
     struct Claim {
-        JobSpec shape;
-        int priority = 0;
-        int position = 0;
-        std::uint32_t tasks = 0;
-        std::uint64_t free_slots = 0;
+        JobSpec shape;                 // what one task takes, and where it may run
+        int priority = 0;              // a higher one is placed first ...
+        int position = 0;              // ... and then a lower position in the evacuation order
+        std::uint32_t tasks = 0;       // to be placed
+        std::uint64_t free_slots = 0;  // tasks of that shape that fit the places counted
     };
-    // A machine, or one on its way, with what it has free.
+    // A machine's group, and what the machine has free.
     struct Place {
         Id machine_type = kNone;
         Id zone = kNone;
@@ -26,20 +28,24 @@
         Resources free;
     };
 
+    // Drops all claims.
     void clear() { claims_.clear(); }
+    // Nothing is claimed.
     bool empty() const { return claims_.empty(); }
+    // All claims, in the order in which they were made.
     const std::vector<Claim>& claims() const { return claims_; }
 
-    // Tasks of one class, priority and rank are counted together, by the shape first given.
+    // Tasks of one class, priority and position are counted together, by the shape first given.
     void claim(const JobSpec& shape, int priority, int position, std::uint32_t tasks);
     // Counts the slots of a place, once all claims are made.
     void count(const Place& place);
-    // Must the place be left to work that goes before a task of this size, priority and rank?
+    // Must the place be left to work that is placed before a task of this size, priority and
+    // position?
     bool blocks(const Resources& each, int priority, int position, const Place& place) const;
     // A task of this size was put into the place.
     void take(const Resources& each, const Place& place);
-    // A task that was claimed for has its place.
-    void fulfil(Id job_class, int priority, int position);
+    // A task that was claimed for was placed.
+    void fulfill(Id job_class, int priority, int position);
 
   private:
     std::vector<Claim>::iterator find(Id job_class, int priority, int position);
--- a/src/coordination/zone_failover/flap_penalty.cpp
+++ b/src/coordination/zone_failover/flap_penalty.cpp
@@ -7,19 +7,18 @@
 
 void FlapPenalty::restore(Ms now, double value, bool suppressing) {
     value_ = std::clamp(value, 0.0, settings_->flap_most);
-    valued_at_ = now;
+    value_at_ = now;
     suppressing_ = suppressing;
 }
 
 void FlapPenalty::add_loss(Ms now) {
     value_ = std::min(value(now) + 1.0, settings_->flap_most);
-    valued_at_ = now;
+    value_at_ = now;
     suppressing_ = suppressing_ || value_ >= settings_->flap_suppress;
 }
 
 double FlapPenalty::value(Ms now) const {
-    double half_lives =
-        static_cast<double>(now - valued_at_) / 1000.0 / settings_->flap_half_life_s;
+    double half_lives = static_cast<double>(now - value_at_) / 1000.0 / settings_->flap_half_life_s;
     return value_ * std::exp2(-std::max(0.0, half_lives));
 }
 
--- a/src/coordination/zone_failover/flap_penalty.hpp
+++ b/src/coordination/zone_failover/flap_penalty.hpp
@@ -7,22 +7,26 @@
 
 namespace walkford {
 
+// The penalty of one zone, in losses: each loss adds 1. Owned by ZoneHealth.
 class FlapPenalty {
   public:
+    // No penalty yet. The settings must outlive it.
     explicit FlapPenalty(const ZoneFailoverSettings& settings) : settings_(&settings) {}
 
     // Continues a penalty that an earlier leader left behind.
     void restore(Ms now, double value, bool suppressing);
+    // The zone was lost. The penalty is capped, so that it is not held down for ever.
     void add_loss(Ms now);
 
+    // The penalty now, decayed since the last loss.
     double value(Ms now) const;
-    // Reached the upper bound, and has not fallen below the lower one since.
+    // The penalty reached the upper bound, and has not fallen below the lower one since.
     bool suppressing(Ms now);
 
   private:
     const ZoneFailoverSettings* settings_;
-    double value_ = 0;
-    Ms valued_at_ = 0;
+    double value_ = 0;  // as it was at ...
+    Ms value_at_ = 0;   // ... this time
     bool suppressing_ = false;
 };
 
--- a/src/coordination/zone_failover/recovery_ramp.cpp
+++ b/src/coordination/zone_failover/recovery_ramp.cpp
@@ -6,12 +6,12 @@
 namespace walkford {
 
 namespace {
-constexpr std::uint32_t kMostHalvings = 4;
+constexpr std::uint32_t kMaxHalvings = 4;
 }
 
 double RecoveryRamp::first_share() const {
     return std::ldexp(settings_->ramp_first_share,
-                      -static_cast<int>(std::min(failed_ramps_, kMostHalvings)));
+                      -static_cast<int>(std::min(failed_ramps_, kMaxHalvings)));
 }
 
 double RecoveryRamp::share(Ms elapsed) const {
--- a/src/coordination/zone_failover/zone_admission.cpp
+++ b/src/coordination/zone_failover/zone_admission.cpp
@@ -139,8 +139,8 @@
                                     bool fetches) {
     const Job& job = context_.cluster.jobs[job_id];
     reserve_.take(job.spec.each, place);
-    reserve_.fulfil(job.spec.job_class, static_cast<int>(job.spec.priority),
-                    displaced_.evacuation_position(context_.cluster, job_id));
+    reserve_.fulfill(job.spec.job_class, static_cast<int>(job.spec.priority),
+                     displaced_.evacuation_position(context_.cluster, job_id));
     if (place.zone >= budgets_.size()) {
         return;
     }
--- a/src/coordination/zone_failover/zone_health.cpp
+++ b/src/coordination/zone_failover/zone_health.cpp
@@ -2,23 +2,24 @@
 
 namespace walkford {
 
-std::string describe(const ZoneEvidence& e) {
-    std::string text = std::to_string(e.silent_machines) + " of " + std::to_string(e.machines) +
-                       " machines silent, " + std::to_string(e.controllers_heard) + " of " +
-                       std::to_string(e.controllers) + " controllers heard";
-    if (e.relayed) {
-        text += ", its workers are answered inside";
+std::string describe(const ZoneEvidence& evidence) {
+    std::string text = std::to_string(evidence.silent_machines) + " of " +
+                       std::to_string(evidence.machines) + " machines silent, " +
+                       std::to_string(evidence.reachable_controllers) + " of " +
+                       std::to_string(evidence.controllers) + " controllers reachable";
+    if (evidence.relayed) {
+        text += ", a controller inside answers its workers";
     }
-    if (e.scale_out_refused) {
-        text += ", a rental there was refused";
+    if (evidence.scale_out_refused) {
+        text += ", a scale-out request there was refused";
     }
-    if (!e.others_heard) {
-        text += ", no machine heard anywhere else";
+    if (!evidence.other_zones_reporting) {
+        text += ", no machine reports anywhere else";
     }
     return text;
 }
 
-Ms ZoneHealth::Sustained::update(Ms now, bool holds) {
+Ms ZoneHealth::SustainedCondition::update(Ms now, bool holds) {
     if (!holds) {
         since_ = -1;
         return 0;
@@ -42,10 +43,8 @@
 
 bool ZoneHealth::observe(Ms now, const ZoneEvidence& evidence) {
     if (!evidence.conclusive) {
-        // Nothing is counted across a time in which nothing could be judged.
-        bad_.reset();
-        good_.reset();
-        unjudged_.reset();
+        // No condition is counted across a time without conclusive evidence.
+        reset_conditions();
         return false;
     }
     ZoneState before = state_;
@@ -66,83 +65,93 @@
     return state_ != before;
 }
 
-bool ZoneHealth::judged(const ZoneEvidence& evidence) const {
+bool ZoneHealth::enough_machines(const ZoneEvidence& evidence) const {
     return evidence.machines >= settings_->least_machines;
 }
 
+bool ZoneHealth::suspicious(const ZoneEvidence& evidence) const {
+    return enough_machines(evidence) && !evidence.relayed &&
+           evidence.silent_share() >= settings_->suspect_share;
+}
+
 bool ZoneHealth::healthy(const ZoneEvidence& evidence) const {
-    bool controllers_well = evidence.controllers == 0 || evidence.controllers_heard > 0;
-    return judged(evidence) && controllers_well && !evidence.relayed &&
+    bool controllers_healthy = evidence.controllers == 0 || evidence.reachable_controllers > 0;
+    return enough_machines(evidence) && controllers_healthy && !evidence.relayed &&
            evidence.silent_share() <= settings_->recover_share;
 }
 
-Ms ZoneHealth::time_to_confirm(const ZoneEvidence& evidence) const {
+Ms ZoneHealth::confirmation_span(const ZoneEvidence& evidence) const {
     Ms span = to_ms(settings_->confirm_s);
-    if (evidence.controllers_heard > 0 && !evidence.scale_out_refused) {
+    if (evidence.reachable_controllers > 0 && !evidence.scale_out_refused) {
         span *= 2;
     }
-    // It may be the observer that is cut off.
-    if (!evidence.others_heard) {
+    // It may be this controller that is cut off.
+    if (!evidence.other_zones_reporting) {
         span *= 2;
     }
     return span;
 }
 
-void ZoneHealth::enter(Ms now, ZoneState state) {
+void ZoneHealth::reset_conditions() {
+    silent_condition_.reset();
+    healthy_condition_.reset();
+    few_machines_condition_.reset();
+}
+
+void ZoneHealth::enter_state(Ms now, ZoneState state) {
     state_ = state;
     since_ = now;
-    bad_.reset();
-    good_.reset();
-    unjudged_.reset();
+    reset_conditions();
 }
 
-void ZoneHealth::lose(Ms now) {
+void ZoneHealth::enter_lost(Ms now) {
     penalty_.add_loss(now);
-    enter(now, ZoneState::lost);
+    enter_state(now, ZoneState::lost);
 }
 
 void ZoneHealth::observe_up(Ms now, const ZoneEvidence& evidence) {
-    bool bad = judged(evidence) && !evidence.relayed &&
-               evidence.silent_share() >= settings_->suspect_share;
-    if (bad) {
-        enter(now, ZoneState::suspect);
+    if (suspicious(evidence)) {
+        enter_state(now, ZoneState::suspect);
         observe_suspect(now, evidence);
     }
 }
 
 void ZoneHealth::observe_suspect(Ms now, const ZoneEvidence& evidence) {
     if (evidence.relayed || evidence.silent_share() <= settings_->recover_share) {
-        enter(now, ZoneState::up);
+        enter_state(now, ZoneState::up);
         return;
     }
-    bool gone = judged(evidence) && evidence.silent_share() >= settings_->lost_share;
-    bool lasting = bad_.update(now, gone) >= time_to_confirm(evidence);
-    if (gone && lasting) {
-        lose(now);
+    bool loss_indicated =
+        enough_machines(evidence) && evidence.silent_share() >= settings_->lost_share;
+    bool lasting = silent_condition_.update(now, loss_indicated) >= confirmation_span(evidence);
+    if (loss_indicated && lasting) {
+        enter_lost(now);
     }
 }
 
 void ZoneHealth::observe_lost(Ms now, const ZoneEvidence& evidence) {
-    bool well = good_.update(now, healthy(evidence)) >= to_ms(settings_->return_s);
-    bool nothing_left = unjudged_.update(now, !judged(evidence)) >= to_ms(settings_->probe_s);
-    bool recovered = (healthy(evidence) && well) || (!judged(evidence) && nothing_left);
+    bool healthy_long =
+        healthy_condition_.update(now, healthy(evidence)) >= to_ms(settings_->return_s);
+    bool few_machines_long = few_machines_condition_.update(now, !enough_machines(evidence)) >=
+                             to_ms(settings_->probe_s);
+    bool recovered =
+        (healthy(evidence) && healthy_long) || (!enough_machines(evidence) && few_machines_long);
     if (recovered && !penalty_.suppressing(now)) {
-        enter(now, ZoneState::returning);
+        enter_state(now, ZoneState::returning);
     }
 }
 
 void ZoneHealth::observe_returning(Ms now, const ZoneEvidence& evidence) {
-    bool bad = judged(evidence) && !evidence.relayed &&
-               evidence.silent_share() >= settings_->suspect_share;
-    bool lasting = bad_.update(now, bad) >= time_to_confirm(evidence) / 2;
-    if (bad && lasting) {
+    bool failing = suspicious(evidence);
+    bool lasting = silent_condition_.update(now, failing) >= confirmation_span(evidence) / 2;
+    if (failing && lasting) {
         ++failed_ramps_;
-        lose(now);
+        enter_lost(now);
         return;
     }
-    if (!bad && in_state(now) >= to_ms(settings_->ramp_s)) {
+    if (!failing && in_state(now) >= to_ms(settings_->ramp_s)) {
         failed_ramps_ = 0;
-        enter(now, ZoneState::up);
+        enter_state(now, ZoneState::up);
     }
 }
 
--- a/src/coordination/zone_failover/zone_health.hpp
+++ b/src/coordination/zone_failover/zone_health.hpp
@@ -1,4 +1,4 @@
-// Judges one zone from what is observed of it: up, suspect, lost or returning
+// Evaluates one zone from what is observed of it: up, suspect, lost or returning
 // (docs/zone-failover.md has the table).
 #pragma once
 
@@ -10,8 +10,10 @@
 
 namespace walkford {
 
+// The state machine of one zone. Owned by ZoneStatus.
 class ZoneHealth {
   public:
+    // A zone that is up. The settings must outlive it.
     explicit ZoneHealth(const ZoneFailoverSettings& settings)
         : settings_(&settings), penalty_(settings) {}
 
@@ -23,30 +25,37 @@
     // Takes in an observation; true if the state changed.
     bool observe(Ms now, const ZoneEvidence& evidence);
 
+    // The state by the last conclusive observation.
     ZoneState state() const { return state_; }
+    // How long it has been in that state.
     Ms in_state(Ms now) const { return now - since_; }
+    // The flap penalty now, in losses.
     double penalty(Ms now) const { return penalty_.value(now); }
+    // How many ramps a flap cut short since the last complete one.
     std::uint32_t failed_ramps() const { return failed_ramps_; }
     // Held down although it looks healthy.
     bool suppressed(Ms now) { return state_ == ZoneState::lost && penalty_.suppressing(now); }
 
   private:
     // A condition that has to hold for some time without a break.
-    class Sustained {
+    class SustainedCondition {
       public:
-        // How long it has held, 0 if it does not.
+        // Takes in whether it holds now; returns for how long it has, 0 if it does not.
         Ms update(Ms now, bool holds);
+        // As if it had not held until now.
         void reset() { since_ = -1; }
 
       private:
         Ms since_ = -1;
     };
 
-    bool judged(const ZoneEvidence& evidence) const;
+    bool enough_machines(const ZoneEvidence& evidence) const;
+    bool suspicious(const ZoneEvidence& evidence) const;
     bool healthy(const ZoneEvidence& evidence) const;
-    Ms time_to_confirm(const ZoneEvidence& evidence) const;
-    void enter(Ms now, ZoneState state);
-    void lose(Ms now);
+    Ms confirmation_span(const ZoneEvidence& evidence) const;
+    void reset_conditions();
+    void enter_state(Ms now, ZoneState state);
+    void enter_lost(Ms now);
 
     void observe_up(Ms now, const ZoneEvidence& evidence);
     void observe_suspect(Ms now, const ZoneEvidence& evidence);
@@ -58,9 +67,9 @@
     ZoneState state_ = ZoneState::up;
     Ms since_ = 0;
     std::uint32_t failed_ramps_ = 0;
-    Sustained bad_;
-    Sustained good_;
-    Sustained unjudged_;
+    SustainedCondition silent_condition_;
+    SustainedCondition healthy_condition_;
+    SustainedCondition few_machines_condition_;
 };
 
 }  // namespace walkford
--- a/src/coordination/zone_failover/zone_observer.cpp
+++ b/src/coordination/zone_failover/zone_observer.cpp
@@ -29,7 +29,7 @@
         ZoneEvidence& evidence = zones_[zone].evidence;
         evidence.relayed = context_.controller.replica.relayed(zones_[zone].name);
         evidence.scale_out_refused = cloud.refused_lately(zone, now);
-        evidence.others_heard = all_reporting > evidence.reporting_machines();
+        evidence.other_zones_reporting = all_reporting > evidence.reporting_machines();
     }
 }
 
@@ -103,13 +103,13 @@
         ZoneStatus& zone = zones_[zone_id];
         bool own = platform_settings.zone == zone.name;
         zone.evidence.controllers = own;
-        zone.evidence.controllers_heard = own;
+        zone.evidence.reachable_controllers = own;
         for (std::size_t peer = 0; peer < platform_settings.peers.size(); ++peer) {
             if (platform_settings.peers[peer].zone != zone.name) {
                 continue;
             }
             ++zone.evidence.controllers;
-            zone.evidence.controllers_heard +=
+            zone.evidence.reachable_controllers +=
                 context_.peer_heard && context_.peer_heard(now, peer, kControllerHeartbeatSpan);
         }
     }
--- a/src/coordination/zone_failover/zone_record.cpp
+++ b/src/coordination/zone_failover/zone_record.cpp
@@ -6,12 +6,13 @@
 namespace walkford {
 
 namespace {
+// By the value of ZoneState.
 constexpr std::array<std::string_view, 4> kStateNames{"up", "suspect", "lost", "returning"};
 
 std::optional<ZoneState> state_named(std::string_view name) {
-    for (std::size_t i = 0; i < kStateNames.size(); ++i) {
-        if (kStateNames[i] == name) {
-            return static_cast<ZoneState>(i);
+    for (std::size_t state = 0; state < kStateNames.size(); ++state) {
+        if (kStateNames[state] == name) {
+            return static_cast<ZoneState>(state);
         }
     }
     return std::nullopt;
@@ -38,9 +39,9 @@
         record.penalty = value.at("p").get<double>();
         record.suppressing = value.at("d").get<bool>();
         record.failed_ramps = value.at("f").get<std::uint32_t>();
-        bool sound =
+        bool valid =
             state && record.in_state >= 0 && std::isfinite(record.penalty) && record.penalty >= 0;
-        if (!sound) {
+        if (!valid) {
             return std::nullopt;
         }
         record.state = *state;
--- a/tests/zone_failover_test.cpp
+++ b/tests/zone_failover_test.cpp
@@ -17,7 +17,7 @@
     evidence.machines = of;
     evidence.silent_machines = count;
     evidence.controllers = 1;
-    evidence.controllers_heard = count == of ? 0 : 1;
+    evidence.reachable_controllers = count == of ? 0 : 1;
     return evidence;
 }
 
@@ -92,10 +92,10 @@
         return zone.until(ZoneState::lost, evidence, 300);
     };
     double plain = takes([](ZoneEvidence&) {});
-    EXPECT_GT(takes([](ZoneEvidence& e) { e.controllers_heard = 1; }), 1.8 * plain);
-    EXPECT_GT(takes([](ZoneEvidence& e) { e.others_heard = false; }), 1.8 * plain);
+    EXPECT_GT(takes([](ZoneEvidence& e) { e.reachable_controllers = 1; }), 1.8 * plain);
+    EXPECT_GT(takes([](ZoneEvidence& e) { e.other_zones_reporting = false; }), 1.8 * plain);
     EXPECT_LE(takes([](ZoneEvidence& e) {
-                  e.controllers_heard = 1;
+                  e.reachable_controllers = 1;
                   e.scale_out_refused = true;
               }),
               plain);
@@ -141,7 +141,7 @@
     ObservedZone zone;
     zone.until(ZoneState::lost, silent(10), 60);
     ZoneEvidence headless = silent(0);
-    headless.controllers_heard = 0;
+    headless.reachable_controllers = 0;
     zone.watch(headless, 120);
     EXPECT_EQ(zone.health.state(), ZoneState::lost);
 }
@@ -226,7 +226,7 @@
         ZoneEvidence evidence = silent(*rc::gen::inRange<std::uint32_t>(0, 11));
         evidence.relayed = *rc::gen::inRange(0, 8) == 0;
         evidence.conclusive = *rc::gen::inRange(0, 8) != 0;
-        evidence.others_heard = *rc::gen::arbitrary<bool>();
+        evidence.other_zones_reporting = *rc::gen::arbitrary<bool>();
         for (int n = *rc::gen::inRange(1, 60); n > 0; --n) {
             ZoneState before = zone.health.state();
             bool bad = evidence.conclusive && !evidence.relayed &&
