--- a/src/coordination/cloud/cloud_manager.hpp
+++ b/src/coordination/cloud/cloud_manager.hpp
@@ -18,6 +18,7 @@
 // this folder, each of which has one concern.
 class CloudManager {
   public:
+    // Nothing is known of the cloud until load() and tick(). Both references must outlive it.
     CloudManager(LeaderContext& context, TaskLifecycle& lifecycle)
         : context_(context),
           registry_(context),
@@ -26,6 +27,9 @@
           machine_list_(context, registry_, releaser_),
           health_watch_(context, registry_, releaser_, unregistered_),
           machine_types_(context) {}
+    // Its parts refer to one another.
+    CloudManager(const CloudManager&) = delete;
+    CloudManager& operator=(const CloudManager&) = delete;
 
     // Continues from the stored registry, at the beginning of a leader's term. If it can't be read,
     // nothing is requested or released in this term.
--- a/src/coordination/cloud/machine_health_watch.cpp
+++ b/src/coordination/cloud/machine_health_watch.cpp
@@ -1,6 +1,7 @@
 #include "coordination/cloud/machine_health_watch.hpp"
 
 #include <algorithm>
+#include <cstddef>
 
 namespace walkford {
 
--- a/src/coordination/cloud/machine_health_watch.hpp
+++ b/src/coordination/cloud/machine_health_watch.hpp
@@ -27,6 +27,7 @@
 // the leader when it is the leader that is cut off. Owned by CloudManager.
 class MachineHealthWatch {
   public:
+    // All references must outlive it.
     MachineHealthWatch(LeaderContext& context, const MachineRegistry& registry,
                        MachineReleaser& releaser, UnregisteredMachines& unregistered)
         : context_(context),
--- a/src/coordination/cloud/machine_list_reconciler.hpp
+++ b/src/coordination/cloud/machine_list_reconciler.hpp
@@ -15,6 +15,7 @@
 // Owned by CloudManager.
 class MachineListReconciler {
   public:
+    // All references must outlive it.
     MachineListReconciler(LeaderContext& context, MachineRegistry& registry,
                           MachineReleaser& releaser)
         : context_(context), registry_(registry), releaser_(releaser) {}
--- a/src/coordination/cloud/machine_registry.hpp
+++ b/src/coordination/cloud/machine_registry.hpp
@@ -19,6 +19,7 @@
 // says when. Owned by CloudManager.
 class MachineRegistry {
   public:
+    // Empty, and not known yet. The context must outlive it.
     explicit MachineRegistry(LeaderContext& context) : context_(context) { parts_[0]; }
 
     // Reads what an earlier leader wrote. False if there is nothing, or it can't be read.
--- a/src/coordination/cloud/machine_releaser.hpp
+++ b/src/coordination/cloud/machine_releaser.hpp
@@ -17,6 +17,7 @@
 // take them until it confirms. Owned by CloudManager.
 class MachineReleaser {
   public:
+    // All references must outlive it.
     MachineReleaser(LeaderContext& context, TaskLifecycle& lifecycle, MachineRegistry& registry,
                     CapacityBackoff& backoff, UnregisteredMachines& unregistered)
         : context_(context),
--- a/src/coordination/cloud/machine_type_reader.hpp
+++ b/src/coordination/cloud/machine_type_reader.hpp
@@ -1,6 +1,8 @@
 // Reads the machine types that the cloud offers.
 #pragma once
 
+#include <vector>
+
 #include "coordination/leader/leader_context.hpp"
 
 namespace walkford {
@@ -9,6 +11,7 @@
 // once. Owned by CloudManager.
 class MachineTypeReader {
   public:
+    // The context must outlive it.
     explicit MachineTypeReader(LeaderContext& context) : context_(context) {}
 
     // Asks the cloud when that is due; one call at a time.
--- a/src/coordination/cloud/scale_out_requester.hpp
+++ b/src/coordination/cloud/scale_out_requester.hpp
@@ -17,6 +17,7 @@
 // until its outcome is known. Owned by CloudManager.
 class ScaleOutRequester {
   public:
+    // All references must outlive it.
     ScaleOutRequester(LeaderContext& context, MachineRegistry& registry,
                       const MachineReleaser& releaser, CapacityBackoff& backoff,
                       UnregisteredMachines& unregistered)
--- a/src/coordination/zone_failover/displaced_work_marker.hpp
+++ b/src/coordination/zone_failover/displaced_work_marker.hpp
@@ -1,6 +1,8 @@
 // Finds the jobs that the failure of a zone displaces.
 #pragma once
 
+#include <string>
+
 #include "coordination/leader/leader_context.hpp"
 #include "coordination/workers/worker_manager.hpp"
 #include "coordination/zone_failover/displaced_work.hpp"
@@ -11,6 +13,7 @@
 // Owned by ZoneFailoverManager.
 class DisplacedWorkMarker {
   public:
+    // All references must outlive it.
     DisplacedWorkMarker(LeaderContext& context, DisplacedWork& displaced)
         : context_(context), displaced_(displaced) {}
 
--- a/src/coordination/zone_failover/zone_admission.hpp
+++ b/src/coordination/zone_failover/zone_admission.hpp
@@ -18,6 +18,7 @@
 // while some zone is restricted or work is displaced.
 class ZoneAdmission {
   public:
+    // Without budgets until the first round. All references must outlive it.
     ZoneAdmission(LeaderContext& context, const ZoneTable& zones, const DisplacedWork& displaced)
         : context_(context),
           settings_(context.controller.operator_settings.zone_failover),
--- a/src/coordination/zone_failover/zone_failover_manager.cpp
+++ b/src/coordination/zone_failover/zone_failover_manager.cpp
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <set>
 
 #include "coordination/zone_failover/log_format.hpp"
 #include "coordination/zone_failover/recovery_ramp.hpp"
--- a/src/coordination/zone_failover/zone_failover_manager.hpp
+++ b/src/coordination/zone_failover/zone_failover_manager.hpp
@@ -21,6 +21,7 @@
 // leader for one term.
 class ZoneFailoverManager {
   public:
+    // All zones are taken as up until the first tick. The context must outlive it.
     explicit ZoneFailoverManager(LeaderContext& context);
     // Its parts refer to one another.
     ZoneFailoverManager(const ZoneFailoverManager&) = delete;
--- a/src/coordination/zone_failover/zone_observer.hpp
+++ b/src/coordination/zone_failover/zone_observer.hpp
@@ -14,6 +14,7 @@
 // Fills the evidence of the ZoneTable. Owned by ZoneFailoverManager.
 class ZoneObserver {
   public:
+    // All references must outlive it.
     ZoneObserver(LeaderContext& context, ZoneTable& zones) : context_(context), zones_(zones) {}
 
     // Replaces every zone's evidence by what is observed now. It is inconclusive without a lease
--- a/src/coordination/zone_failover/zone_record_store.hpp
+++ b/src/coordination/zone_failover/zone_record_store.hpp
@@ -16,6 +16,7 @@
     // Called when a record has become durable.
     using DurableHandler = std::function<void(Ms now, Id zone, const ZoneRecord& record)>;
 
+    // All references must outlive it.
     ZoneRecordStore(LeaderContext& context, ZoneTable& zones, DurableHandler on_durable);
 
     // Continues from the zone's stored record. Without one, or if it can't be read, the zone is
--- a/src/coordination/zone_failover/zone_table.cpp
+++ b/src/coordination/zone_failover/zone_table.cpp
@@ -28,10 +28,10 @@
 }
 
 std::uint32_t ZoneTable::count_up() const {
-    auto up = std::count_if(zones_.begin(), zones_.end(), [](const ZoneStatus& zone) {
+    auto zones_up = std::count_if(zones_.begin(), zones_.end(), [](const ZoneStatus& zone) {
         return zone.durable.state == ZoneState::up;
     });
-    return static_cast<std::uint32_t>(up);
+    return static_cast<std::uint32_t>(zones_up);
 }
 
 }  // namespace walkford
--- a/src/coordination/zone_failover/zone_table.hpp
+++ b/src/coordination/zone_failover/zone_table.hpp
@@ -39,6 +39,7 @@
     std::size_t size() const { return zones_.size(); }
     // The status of a zone; the id must be below size().
     ZoneStatus& operator[](Id zone) { return zones_[zone]; }
+    // Likewise, for those who only read it.
     const ZoneStatus& operator[](Id zone) const { return zones_[zone]; }
 
     // The state that is acted on.
