--- /dev/null
+++ b/src/coordination/leader/leader_context.cpp
@@ -0,0 +1,27 @@
+#include "coordination/leader/leader_context.hpp"
+
+#include <algorithm>
+
+namespace walkford {
+
+LeaderContext::LeaderContext(ControllerContext& owner, std::uint64_t token, Ms now)
+    : controller(owner),
+      cluster(owner.names, owner.platform_settings.teams),
+      fencing_token(token),
+      elected_at(now) {}
+
+bool LeaderContext::deposed_by(Ms now, const StoreResponse& reply) const {
+    bool other_leads =
+        std::find(reply.failed.begin(), reply.failed.end(), keys::kLeader) != reply.failed.end();
+    if (other_leads) {
+        depose(now, "a write found another leader");
+    }
+    return other_leads;
+}
+
+bool LeaderContext::relayed(const Machine& machine) const {
+    return machine.zone != kNone &&
+           controller.replica.relayed(controller.names.zones.name(machine.zone));
+}
+
+}  // namespace walkford
--- a/src/coordination/leader/leader_context.hpp
+++ b/src/coordination/leader/leader_context.hpp
@@ -2,7 +2,6 @@
 // leader's authority, and the callbacks into the controller that runs it.
 #pragma once
 
-#include <algorithm>
 #include <functional>
 #include <memory>
 
@@ -16,6 +15,9 @@
 // Owned by the Leader; every subsystem of the leader holds a reference. It lives for one leader
 // term and is destroyed when the leader is deposed.
 struct LeaderContext {
+    // Begins a leader term with an empty cluster state.
+    LeaderContext(ControllerContext& owner, std::uint64_t token, Ms now);
+
     ControllerContext& controller;
     ClusterState cluster;
     std::uint64_t fencing_token = 0;
@@ -49,20 +51,10 @@
 
     // To be called with a reply that reports a conflict. If the comparison of the leader key is
     // among those that failed, another controller leads: deposes this leader and returns true.
-    bool deposed_by(Ms now, const StoreResponse& reply) const {
-        bool other_leads = std::find(reply.failed.begin(), reply.failed.end(), keys::kLeader) !=
-                           reply.failed.end();
-        if (other_leads) {
-            depose(now, "a write found another leader");
-        }
-        return other_leads;
-    }
+    bool deposed_by(Ms now, const StoreResponse& reply) const;
 
     // Another controller relays for the machine's zone, and may renew the machine's lease.
-    bool relayed(const Machine& machine) const {
-        return machine.zone != kNone &&
-               controller.replica.relayed(controller.names.zones.name(machine.zone));
-    }
+    bool relayed(const Machine& machine) const;
 
     // Wraps a handler of replies so that it is not called once this leader is gone.
     template <typename Handler>
@@ -74,13 +66,6 @@
             }
         };
     }
-
-    // Begins a term with an empty cluster state.
-    LeaderContext(ControllerContext& owner, std::uint64_t token, Ms now)
-        : controller(owner),
-          cluster(owner.names, owner.platform_settings.teams),
-          fencing_token(token),
-          elected_at(now) {}
 };
 
 }  // namespace walkford
--- /dev/null
+++ b/src/coordination/workers/command_builder.cpp
@@ -0,0 +1,81 @@
+#include "coordination/workers/command_builder.hpp"
+
+#include "coordination/workers/answer_acknowledgement.hpp"
+#include "coordination/workers/reported_task.hpp"
+
+namespace walkford {
+
+namespace {
+constexpr std::size_t kMaxCommandsPerAnswer = 200;  // an answer holds 64 KiB
+}
+
+std::vector<WorkerCommand> CommandBuilder::build(Ms now, Id machine_id,
+                                                 const WorkerStatus& status) {
+    ClusterState& cluster = context_.cluster;
+    const Machine& machine = cluster.machines[machine_id];
+    std::vector<WorkerCommand> commands;
+    for (const ReportedTask& reported : status.tasks) {
+        add_cleanup(machine_id, reported, commands);
+    }
+    bool machine_may_start = machine_may_start_tasks(machine, status);
+    for (TaskRef ref : machine.tasks) {
+        Task& task = cluster.task(ref);
+        if (task.stopping && task.phase != TaskPhase::assigned) {
+            commands.push_back({WorkerCommandType::stop, cluster.jobs[ref.job].spec.id, ref.task,
+                                task.attempt, task.stop_grace});
+            task.stop_sent_at = now;
+        } else if (machine_may_start && task_may_start(ref, task)) {
+            add_run(now, ref, status, commands);
+        }
+        if (commands.size() >= kMaxCommandsPerAnswer) {
+            break;
+        }
+    }
+    return commands;
+}
+
+void CommandBuilder::add_cleanup(Id machine_id, const ReportedTask& reported,
+                                 std::vector<WorkerCommand>& commands) const {
+    if (auto ref = find_reported_task(context_.cluster, reported)) {
+        const Task& task = context_.cluster.task(*ref);
+        if (is_current_attempt(task, machine_id, reported) ||
+            is_durable_attempt(task, machine_id, reported)) {
+            return;
+        }
+    }
+    // Its job has ended or was cancelled, or the attempt is an older one.
+    WorkerCommandType type =
+        reported.state == TaskState::exited ? WorkerCommandType::clear : WorkerCommandType::stop;
+    commands.push_back({type, reported.job, reported.task, reported.attempt, 0});
+}
+
+// Only a worker that shows our fencing token: a late copy of a heartbeat from before the election
+// gets no command whose delivery would then be counted on.
+bool CommandBuilder::machine_may_start_tasks(const Machine& machine,
+                                             const WorkerStatus& status) const {
+    return context_.holds_lease && machine.registration_durable && !machine.releasing &&
+           status.fencing_token == context_.fencing_token && receives_answers(machine);
+}
+
+bool CommandBuilder::task_may_start(TaskRef ref, const Task& task) const {
+    return task.phase == TaskPhase::assigned && !task.stopping && !task.inherited &&
+           !context_.cluster.jobs[ref.job].cancelled && task.durable_here();
+}
+
+void CommandBuilder::add_run(Ms now, TaskRef ref, const WorkerStatus& status,
+                             std::vector<WorkerCommand>& commands) {
+    Task& task = context_.cluster.task(ref);
+    const std::string& job_name = context_.cluster.jobs[ref.job].spec.id;
+    // The worker accepts a task and attempt once, unless it was cleared.
+    if (task.rerun) {
+        commands.push_back({WorkerCommandType::clear, job_name, ref.task, task.attempt, 0});
+    }
+    task.rerun = false;
+    commands.push_back({WorkerCommandType::run, job_name, ref.task, task.attempt, 0});
+    task.phase = TaskPhase::dispatched;
+    task.dispatch_sequence = status.sequence;
+    task.dispatch_incarnation = status.incarnation;
+    task.since = now;
+}
+
+}  // namespace walkford
--- /dev/null
+++ b/src/coordination/workers/direct_calls.cpp
@@ -0,0 +1,89 @@
+#include "coordination/workers/direct_calls.hpp"
+
+#include <algorithm>
+
+namespace walkford {
+
+namespace {
+constexpr Ms kProbeInterval = 2500;
+constexpr Ms kStopResendInterval = 2500;
+// Stops need not wait for the next probe: this long after the last call they may follow.
+constexpr Ms kMinCallInterval = 100;
+}  // namespace
+
+// (A status under an older token may be a late copy: it does not show that the worker has been
+// reached.)
+void DirectCalls::probe_unseen_worker(Ms now, Id machine_id) {
+    const Machine& machine = context_.cluster.machines[machine_id];
+    const WorkerState& worker = machine.worker;
+    Ms probe_after = to_ms(context_.controller.operator_settings.takeover_probe_s);
+    bool unseen = !worker.fencing_token_seen &&
+                  now > std::max(context_.elected_at, worker.last_heartbeat) + probe_after &&
+                  (!machine.tasks.empty() || machine.listing.state == CloudMachineState::running);
+    if (unseen && !worker.probe_open && now >= worker.probe_at) {
+        send(now, machine_id, {});
+    }
+}
+
+void DirectCalls::send_stops(Ms now, Id machine_id) {
+    ClusterState& cluster = context_.cluster;
+    const Machine& machine = cluster.machines[machine_id];
+    std::vector<WorkerCommand> stops;
+    for (TaskRef ref : machine.tasks) {
+        const Task& task = cluster.task(ref);
+        bool sent_lately = task.stop_sent_at >= 0 && now < task.stop_sent_at + kStopResendInterval;
+        if (task.stopping && task.phase != TaskPhase::assigned && !sent_lately) {
+            stops.push_back({WorkerCommandType::stop, cluster.jobs[ref.job].spec.id, ref.task,
+                             task.attempt, task.stop_grace});
+        }
+    }
+    Ms call_after = machine.worker.probe_at - kProbeInterval + kMinCallInterval;
+    if (stops.empty() || !machine.worker.reported || machine.worker.probe_open ||
+        now < call_after) {
+        return;
+    }
+    for (const WorkerCommand& stop : stops) {
+        cluster.task({cluster.find_job(stop.job), stop.task}).stop_sent_at = now;
+    }
+    send(now, machine_id, std::move(stops));
+}
+
+void DirectCalls::send(Ms now, Id machine_id, std::vector<WorkerCommand> commands) {
+    Machine& machine = context_.cluster.machines[machine_id];
+    if (machine.address.empty() || machine.worker.probe_open) {
+        return;
+    }
+    machine.worker.probe_open = true;
+    machine.worker.probe_at = now + kProbeInterval;
+    WorkerRequest request;
+    request.address = machine.address;
+    request.fencing_token = context_.fencing_token;
+    request.incarnation = machine.worker.incarnation;
+    request.commands = std::move(commands);
+    request.call = context_.controller.workers.open(
+        context_.while_leading([this, machine_id](Ms at, const WorkerResponse& response) {
+            on_response(at, machine_id, response);
+        }));
+    context_.controller.out.emplace_back(std::move(request));
+}
+
+void DirectCalls::on_response(Ms now, Id machine_id, const WorkerResponse& response) {
+    Machine& machine = context_.cluster.machines[machine_id];
+    machine.worker.probe_open = false;
+    if (machine.terminated || !response.worker_status ||
+        response.worker_status->machine != machine.name) {
+        return;
+    }
+    const WorkerStatus& status = *response.worker_status;
+    if (status.fencing_token > context_.fencing_token) {
+        context_.depose(now, "a worker has seen a higher fencing token");
+        return;
+    }
+    if (response.status == WorkerCallStatus::conflict &&
+        status.incarnation != machine.worker.incarnation) {
+        machine.worker.probe_at = now;  // once more, with the incarnation that it reports
+    }
+    status_handler_.apply(now, machine_id, status, StatusSource::direct_call);
+}
+
+}  // namespace walkford
--- /dev/null
+++ b/src/coordination/workers/heartbeat_responder.cpp
@@ -0,0 +1,183 @@
+#include "coordination/workers/heartbeat_responder.hpp"
+
+#include <algorithm>
+
+#include "coordination/workers/reported_task.hpp"
+
+namespace walkford {
+
+namespace {
+constexpr int kHttpOk = 200;
+constexpr int kHttpServiceUnavailable = 503;
+constexpr Ms kDeferredCheckInterval = 20;
+// Each deferred heartbeat occupies a socket; most of them are for those answered at once.
+constexpr std::size_t kSocketsPerDeferredHeartbeat = 4;
+
+// Placed by this leader, and not yet commanded to run.
+bool newly_placed(const Task& task) { return task.phase == TaskPhase::assigned && !task.inherited; }
+}  // namespace
+
+HeartbeatResponder::~HeartbeatResponder() {
+    for (const auto& [machine_id, deferred] : deferred_) {
+        refuse(deferred.request);
+    }
+}
+
+void HeartbeatResponder::refuse(RequestId request) {
+    HeartbeatResponse response;
+    response.request = request;
+    response.code = kHttpServiceUnavailable;
+    context_.controller.out.emplace_back(std::move(response));
+}
+
+void HeartbeatResponder::renew_lease(Ms now, Machine& machine, RequestId request) {
+    HeartbeatResponse response;
+    response.request = request;
+    response.code = kHttpOk;
+    response.fencing_token = context_.fencing_token;
+    machine.worker.lease_renewed_at = now;
+    context_.controller.out.emplace_back(std::move(response));
+}
+
+void HeartbeatResponder::respond_or_defer(Ms now, Id machine_id,
+                                          const HeartbeatRequest& heartbeat) {
+    const WorkerStatus& status = heartbeat.worker_status;
+    if (auto earlier = deferred_.find(machine_id); earlier != deferred_.end()) {
+        // Its worker no longer waits for it, or one of the two was a copy.
+        renew_lease(now, context_.cluster.machines[machine_id], earlier->second.request);
+        deferred_.erase(earlier);
+    }
+    DeferReason reason = defer_reason(machine_id, status);
+    if (Ms delay = max_delay(reason); delay > 0) {
+        deferred_[machine_id] = {heartbeat.request, status, now + delay, reason, rounds_};
+        return;
+    }
+    respond(now, machine_id, heartbeat.request, status);
+}
+
+void HeartbeatResponder::respond(Ms now, Id machine_id, RequestId request,
+                                 const WorkerStatus& status) {
+    Machine& machine = context_.cluster.machines[machine_id];
+    if (now >= context_.heartbeat_answer_deadline || machine.terminated) {
+        refuse(request);
+        return;
+    }
+    HeartbeatResponse response;
+    response.request = request;
+    response.code = kHttpOk;
+    response.fencing_token = context_.fencing_token;
+    response.commands = command_builder_.build(now, machine_id, status);
+    Acknowledgement& answers = machine.acknowledgement;
+    if (answers.answered_sequence == 0) {
+        answers.token_announced_sequence = status.sequence;
+    }
+    answers.answered_incarnation = status.incarnation;
+    answers.answered_sequence = status.sequence;
+    machine.worker.lease_renewed_at = now;
+    context_.controller.out.emplace_back(std::move(response));
+}
+
+bool HeartbeatResponder::may_defer(const Machine& machine, const WorkerStatus& status) const {
+    bool may_get_work = context_.holds_lease && machine.registered &&
+                        machine.registration_durable && !machine.releasing &&
+                        !machine.health.quarantined && machine.worker.reclaim_at < 0 &&
+                        machine.acknowledgement.missed_answers == 0 &&
+                        status.fencing_token == context_.fencing_token;
+    std::size_t max_deferred =
+        context_.controller.platform_settings.fd_limit / kSocketsPerDeferredHeartbeat;
+    return may_get_work && deferred_.size() < max_deferred;
+}
+
+HeartbeatResponder::DeferReason HeartbeatResponder::defer_reason(Id machine_id,
+                                                                 const WorkerStatus& status) const {
+    const Machine& machine = context_.cluster.machines[machine_id];
+    if (!may_defer(machine, status)) {
+        return DeferReason::none;
+    }
+    // A worker without tasks waits for work; one with tasks could not report on them meanwhile.
+    if (status.tasks.empty() && machine.tasks.empty()) {
+        return DeferReason::idle;
+    }
+    bool placement_expected =
+        has_undurable_exit(machine_id, status) || has_undurable_placement(machine);
+    return placement_expected ? DeferReason::placement : DeferReason::none;
+}
+
+Ms HeartbeatResponder::max_delay(DeferReason reason) const {
+    const OperatorSettings& settings = context_.controller.operator_settings;
+    switch (reason) {
+        case DeferReason::idle:
+            return to_ms(settings.idle_response_hold_s);
+        case DeferReason::placement:
+            return to_ms(settings.response_hold_s);
+        case DeferReason::none:
+            break;
+    }
+    return 0;
+}
+
+// Resources have just become free, and their next use waits for the store.
+bool HeartbeatResponder::has_undurable_exit(Id machine_id, const WorkerStatus& status) const {
+    ClusterState& cluster = context_.cluster;
+    return std::any_of(status.tasks.begin(), status.tasks.end(), [&](const ReportedTask& reported) {
+        if (reported.state != TaskState::exited) {
+            return false;
+        }
+        std::optional<TaskRef> ref = find_reported_task(cluster, reported);
+        if (!ref) {
+            return false;
+        }
+        const Task& task = cluster.task(*ref);
+        return is_durable_attempt(task, machine_id, reported) &&
+               !is_current_attempt(task, machine_id, reported);
+    });
+}
+
+bool HeartbeatResponder::has_undurable_placement(const Machine& machine) const {
+    return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](TaskRef ref) {
+        const Task& task = context_.cluster.task(ref);
+        return newly_placed(task) && !task.durable_here();
+    });
+}
+
+bool HeartbeatResponder::commands_ready(Id machine_id, const DeferredHeartbeat& deferred) const {
+    const Machine& machine = context_.cluster.machines[machine_id];
+    bool has_placement = false;
+    for (TaskRef ref : machine.tasks) {
+        const Task& task = context_.cluster.task(ref);
+        if (!newly_placed(task)) {
+            continue;
+        }
+        if (!task.durable_here()) {
+            return false;
+        }
+        has_placement = true;
+    }
+    if (machine.terminated || machine.releasing) {
+        return true;
+    }
+    if (deferred.reason == DeferReason::idle) {
+        return has_placement;
+    }
+    return rounds_ > deferred.rounds && !has_undurable_exit(machine_id, deferred.worker_status);
+}
+
+void HeartbeatResponder::respond_deferred(Ms now, std::uint64_t rounds) {
+    rounds_ = rounds;
+    if (now < deferred_check_at_) {
+        return;
+    }
+    deferred_check_at_ = now + kDeferredCheckInterval;
+    for (auto it = deferred_.begin(); it != deferred_.end();) {
+        const auto& [machine_id, deferred] = *it;
+        if (now >= deferred.until || now >= context_.heartbeat_answer_deadline ||
+            !context_.holds_lease || commands_ready(machine_id, deferred)) {
+            respond(now, machine_id, deferred.request, deferred.worker_status);
+            it = deferred_.erase(it);
+        } else {
+            ++it;
+        }
+    }
+}
+
+}  // namespace walkford
--- /dev/null
+++ b/src/coordination/workers/heartbeat_responder.hpp
@@ -0,0 +1,70 @@
+// The answers to heartbeats, at once or deferred until there is something to command.
+#pragma once
+
+#include <map>
+
+#include "coordination/workers/command_builder.hpp"
+
+namespace walkford {
+
+// `run` commands travel only in answers to heartbeats, and the next heartbeat comes a report
+// interval later: where a placement is expected soon, the answer waits for it for a short time.
+// Every answer with 200 renews the worker's lease.
+class HeartbeatResponder {
+  public:
+    // The context must outlive this object.
+    explicit HeartbeatResponder(LeaderContext& context)
+        : context_(context), command_builder_(context) {}
+    // Answers the deferred heartbeats with 503: the workers turn to the next leader.
+    ~HeartbeatResponder();
+    HeartbeatResponder(const HeartbeatResponder&) = delete;
+    HeartbeatResponder& operator=(const HeartbeatResponder&) = delete;
+
+    // Answers with 503, which renews no lease.
+    void refuse(RequestId request);
+
+    // Renews the worker's lease, without commands.
+    void renew_lease(Ms now, Machine& machine, RequestId request);
+
+    // Answers with commands, now or later. A worker has one heartbeat open at a time: an earlier
+    // one that is still deferred is answered first, without commands.
+    void respond_or_defer(Ms now, Id machine_id, const HeartbeatRequest& heartbeat);
+
+    // Answers the deferred heartbeats that have waited long enough or whose commands are ready.
+    // `rounds`: how many placement rounds are complete.
+    void respond_deferred(Ms now, std::uint64_t rounds);
+
+    // A heartbeat of the machine's worker is open here.
+    bool has_deferred(Id machine_id) const { return deferred_.count(machine_id) != 0; }
+
+  private:
+    // What the answer to a heartbeat waits for.
+    enum class DeferReason : std::uint8_t {
+        none,       // it is answered at once
+        idle,       // work, on a machine that has none
+        placement,  // the next placement, as a task has exited or was placed just now
+    };
+    struct DeferredHeartbeat {
+        RequestId request = 0;
+        WorkerStatus worker_status;
+        Ms until = 0;
+        DeferReason reason = DeferReason::none;
+        std::uint64_t rounds = 0;  // complete when it was deferred
+    };
+
+    DeferReason defer_reason(Id machine_id, const WorkerStatus& status) const;
+    bool may_defer(const Machine& machine, const WorkerStatus& status) const;
+    Ms max_delay(DeferReason reason) const;
+    bool has_undurable_exit(Id machine_id, const WorkerStatus& status) const;
+    bool has_undurable_placement(const Machine& machine) const;
+    bool commands_ready(Id machine_id, const DeferredHeartbeat& deferred) const;
+    void respond(Ms now, Id machine_id, RequestId request, const WorkerStatus& status);
+
+    LeaderContext& context_;
+    CommandBuilder command_builder_;
+    std::map<Id, DeferredHeartbeat> deferred_;  // by machine
+    std::uint64_t rounds_ = 0;
+    Ms deferred_check_at_ = 0;
+};
+
+}  // namespace walkford
--- /dev/null
+++ b/src/coordination/workers/worker_status_handler.hpp
@@ -0,0 +1,62 @@
+// What a worker's status changes in the cluster state.
+#pragma once
+
+#include <set>
+
+#include "coordination/leader/task_lifecycle.hpp"
+#include "coordination/workers/task_exits.hpp"
+
+namespace walkford {
+
+// How a status reached the leader.
+enum class StatusSource : std::uint8_t {
+    heartbeat,
+    direct_call,  // in the response to commands that were sent outside of heartbeats
+};
+
+enum class StatusResult : std::uint8_t {
+    applied,
+    stale,  // a copy of an earlier status, or older than one: it changes nothing
+};
+
+// Applies the statuses of workers: the state of the worker itself, what it reports of its tasks,
+// and what it does not mention although the cluster state places it there.
+class WorkerStatusHandler {
+  public:
+    // Both must outlive this object.
+    WorkerStatusHandler(LeaderContext& context, TaskLifecycle& lifecycle)
+        : context_(context), lifecycle_(lifecycle), task_exits_(context, lifecycle) {}
+
+    // Applies a status of the worker on that machine, unless it is stale.
+    StatusResult apply(Ms now, Id machine_id, const WorkerStatus& status, StatusSource source);
+
+  private:
+    // A status that is being applied, and what its steps need to know of it.
+    struct StatusUpdate {
+        Ms now;
+        Id machine_id;
+        const WorkerStatus& status;
+        StatusSource source;
+        bool new_incarnation;  // the first status of a worker that was restarted
+        bool under_our_token;  // the worker obeys this leader and no older one
+    };
+
+    static bool is_stale(const Machine& machine, const WorkerStatus& status);
+    void update_worker_state(const StatusUpdate& update, Machine& machine);
+    static void update_reclaim_notice(const StatusUpdate& update, Machine& machine);
+    // Returns the tasks that the status mentions with their current attempt.
+    std::set<TaskRef> apply_reported_tasks(const StatusUpdate& update);
+    void apply_reported_task(const StatusUpdate& update, TaskRef ref, const ReportedTask& reported);
+    void apply_present_task(const StatusUpdate& update, TaskRef ref, const ReportedTask& reported);
+    void reconcile_unreported_tasks(const StatusUpdate& update, const std::set<TaskRef>& reported);
+    static bool run_command_dropped(const StatusUpdate& update, const Task& task);
+    void reconcile_dispatched_task(const StatusUpdate& update, TaskRef ref,
+                                   bool& missed_answer_recorded);
+    void reconcile_assigned_task(const StatusUpdate& update, TaskRef ref);
+
+    LeaderContext& context_;
+    TaskLifecycle& lifecycle_;
+    TaskExits task_exits_;
+};
+
+}  // namespace walkford
