--- a/src/coordination/workers/heartbeat_responder.cpp
+++ b/src/coordination/workers/heartbeat_responder.cpp
@@ -168,14 +168,14 @@
         return;
     }
     deferred_check_at_ = now + kDeferredCheckInterval;
-    for (auto it = deferred_.begin(); it != deferred_.end();) {
-        const auto& [machine_id, deferred] = *it;
+    for (auto entry = deferred_.begin(); entry != deferred_.end();) {
+        const auto& [machine_id, deferred] = *entry;
         if (now >= deferred.until || now >= context_.heartbeat_answer_deadline ||
             !context_.holds_lease || commands_ready(machine_id, deferred)) {
             respond(now, machine_id, deferred.request, deferred.worker_status);
-            it = deferred_.erase(it);
+            entry = deferred_.erase(entry);
         } else {
-            ++it;
+            ++entry;
         }
     }
 }
--- a/src/coordination/workers/reported_task.hpp
+++ b/src/coordination/workers/reported_task.hpp
@@ -17,8 +17,8 @@
 inline constexpr std::string_view kBusy = "busy";       // an earlier attempt of it still runs there
 inline constexpr std::string_view kUnknown = "unknown";  // the worker did not know the job
 // Gang members: the others did not arrive in time, or some were lost after the gang had begun.
-inline constexpr std::string_view kAlone = "alone";
-inline constexpr std::string_view kMatesGone = "mates_gone";
+inline constexpr std::string_view kGangIncomplete = "alone";
+inline constexpr std::string_view kGangMemberLost = "mates_gone";
 }  // namespace exit_cause
 
 // The task of the cluster state that a worker reports; empty if its job has ended or never existed.
--- a/src/coordination/workers/task_exits.cpp
+++ b/src/coordination/workers/task_exits.cpp
@@ -35,8 +35,8 @@
         return;
     }
     back_off(now, ref, reported);
-    bool began = reported.cause == exit_cause::kMatesGone || reported.cause == exit_cause::kError ||
-                 reported.cause == exit_cause::kStopped;
+    bool began = reported.cause == exit_cause::kGangMemberLost ||
+                 reported.cause == exit_cause::kError || reported.cause == exit_cause::kStopped;
     lifecycle_.task_lost(ref, now, reported.cause.c_str(), began);
 }
 
@@ -57,8 +57,8 @@
 }
 
 bool TaskExits::waits_for_gang(TaskRef ref, const ReportedTask& reported) const {
-    return reported.cause == exit_cause::kAlone && !context_.cluster.jobs[ref.job].cancelled &&
-           lifecycle_.unbegun(ref.job);
+    return reported.cause == exit_cause::kGangIncomplete &&
+           !context_.cluster.jobs[ref.job].cancelled && lifecycle_.unbegun(ref.job);
 }
 
 // The other gang members still fetch their image (a large one takes longer than a gang waits): the
--- a/src/coordination/workers/worker_status_handler.cpp
+++ b/src/coordination/workers/worker_status_handler.cpp
@@ -104,7 +104,7 @@
         record_received_answer(context_.cluster.machines[update.machine_id]);
     }
     bool exited = reported.state == TaskState::exited;
-    bool missed_gang = exited && reported.cause == exit_cause::kAlone;
+    bool missed_gang = exited && reported.cause == exit_cause::kGangIncomplete;
     // An earlier leader may have run this attempt again since: only a status under our token shows
     // that it has not, and until then the task is where that leader placed it.
     if (missed_gang && !update.under_our_token) {
--- a/src/coordination/workers/worker_status_handler.hpp
+++ b/src/coordination/workers/worker_status_handler.hpp
@@ -14,6 +14,7 @@
     direct_call,  // in the response to commands that were sent outside of heartbeats
 };
 
+// What became of a status.
 enum class StatusResult : std::uint8_t {
     applied,
     stale,  // a copy of an earlier status, or older than one: it changes nothing
