--- a/src/coordination/leadership/feature_level.cpp
+++ b/src/coordination/leadership/feature_level.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 constexpr Ms kRetry = 1000;
-}
+}  // namespace
 
 std::uint32_t FeatureLevel::announced_by(const std::string& controller) const {
-    auto it = context_.replica.announced_levels.find(controller);
-    return it == context_.replica.announced_levels.end() ? 0 : it->second.level;
+    const auto& announcements = context_.replica.announced_levels;
+    auto announcement = announcements.find(controller);
+    return announcement == announcements.end() ? 0 : announcement->second.level;
 }
 
 void FeatureLevel::replica_changed() {
@@ -37,7 +38,7 @@
 void FeatureLevel::tick(Ms now) {
     const std::string& controller = context_.platform_settings.controller_name;
     std::uint32_t own = context_.platform_settings.feature_level;
-    if (writing_ || now < write_at_ || own <= announced_by(controller)) {
+    if (writing_ || now < retry_at_ || own <= announced_by(controller)) {
         return;
     }
     auto known = context_.replica.announced_levels.find(controller);
@@ -49,9 +50,10 @@
     writing_ = true;
     context_.store.transaction(RequestPriority::leadership, std::move(transaction),
                                [this](Ms at, const StoreResponse&) {
-                                   // Whatever the answer: the view shows whether the record stands.
+                                   // Whatever the response: the replica shows whether the
+                                   // record was written.
                                    writing_ = false;
-                                   write_at_ = at + kRetry;
+                                   retry_at_ = at + kRetry;
                                });
 }
 
--- a/src/coordination/leadership/feature_level.hpp
+++ b/src/coordination/leadership/feature_level.hpp
@@ -11,21 +11,25 @@
 
 namespace walkford {
 
+// Owned by the Controller.
 class FeatureLevel {
   public:
+    // The context must outlive it.
     explicit FeatureLevel(ControllerContext& context) : context_(context) {}
 
-    // Announces this controller's level where its record does not show it yet.
+    // Announces this controller's level until its record shows it. Only with a loaded replica.
     void tick(Ms now);
-    // Reads the cluster's level from the view into the core.
+    // To be called when announcements may have changed in the replica: raises the cluster's level
+    // in the ControllerContext to the lowest that is announced.
     void replica_changed();
 
   private:
+    // 0: that controller has announced nothing.
     std::uint32_t announced_by(const std::string& controller) const;
 
     ControllerContext& context_;
     bool writing_ = false;
-    Ms write_at_ = 0;
+    Ms retry_at_ = 0;
 };
 
 }  // namespace walkford
--- a/src/coordination/leadership/leadership.cpp
+++ b/src/coordination/leadership/leadership.cpp
@@ -2,8 +2,19 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+
 namespace walkford {
 
+namespace {
+// Random delays, so that controllers don't campaign in step.
+constexpr Ms kMaxCampaignDelay = 120;
+constexpr Ms kMaxCampaignRetryDelay = 300;
+constexpr Ms kCampaignRetry = 200;
+constexpr Ms kRenewalRetry = 200;
+constexpr Ms kRenewalsPerTtl = 4;
+}  // namespace
+
 void Leadership::tick(Ms now) {
     if (leading()) {
         if (!renewing_ && now >= renew_at_) {
@@ -19,93 +30,113 @@
         return;
     }
     if (campaign_at_ < 0) {
-        campaign_at_ = now + context_.jitter(120);
+        campaign_at_ = now + context_.jitter(kMaxCampaignDelay);
     }
     if (now >= campaign_at_ && now >= stand_back_until_) {
-        campaign(now);
+        start_campaign(now);
     }
 }
 
-void Leadership::campaign(Ms now) {
+void Leadership::start_campaign(Ms now) {
     campaigning_ = true;
-    Ms ttl = to_ms(context_.operator_settings.lease_ttl_s);
+    Campaign campaign;
+    campaign.started_at = now;
+    campaign.ttl = ttl();
     context_.store.lease_grant(
-        ttl,
-        [this, sent = now, ttl](Ms at, const StoreResponse& r) {
-            if (r.status != StoreStatus::ok || r.lease == 0) {
-                campaigning_ = false;
-                campaign_at_ = at + 200 + context_.jitter(300);
-                return;
-            }
-            std::uint64_t lease = r.lease;
-            Transaction transaction;
-            transaction.comparisons = {{keys::kLeader, 0}};
-            transaction.writes = {{keys::kLeader,
-                                   encode_leader({context_.platform_settings.controller_name,
-                                                  context_.platform_settings.incarnation}),
-                                   lease}};
-            context_.store.transaction(
-                RequestPriority::leadership, std::move(transaction),
-                [this, lease, sent, ttl](Ms then, const StoreResponse& t) {
-                    campaigning_ = false;
-                    if (t.status != StoreStatus::ok) {
-                        // Lost, or unknown: without its lease a late copy of the write
-                        // fails too.
-                        context_.store.lease_revoke(lease, context_.out);
-                        campaign_at_ = then + 200 + context_.jitter(300);
-                        return;
-                    }
-                    if (t.revision <= known_fencing_token_) {
-                        context_.store.lease_revoke(lease, context_.out);
-                        campaign_at_ = then + 200;
-                        return;
-                    }
-                    fencing_token_ = t.revision;
-                    known_fencing_token_ = fencing_token_;
-                    known_leader_ = context_.platform_settings.controller_name;
-                    lease_ = lease;
-                    valid_until_ = lease_valid_until(sent, ttl);
-                    renew_at_ = then + ttl / 4;
-                    renewing_ = false;
-                    context_.store.set_leading(true);
-                    spdlog::info("elected leader with token {}", fencing_token_);
-                    if (on_elected) {
-                        on_elected(then);
-                    }
-                });
+        campaign.ttl,
+        [this, campaign](Ms at, const StoreResponse& response) {
+            on_lease_granted(at, campaign, response);
         },
         context_.out);
 }
 
+void Leadership::on_lease_granted(Ms now, Campaign campaign, const StoreResponse& response) {
+    if (response.status != StoreStatus::ok || response.lease == 0) {
+        campaigning_ = false;
+        campaign_at_ = now + kCampaignRetry + context_.jitter(kMaxCampaignRetryDelay);
+        return;
+    }
+    campaign.lease = response.lease;
+    write_leader_key(campaign);
+}
+
+void Leadership::write_leader_key(const Campaign& campaign) {
+    LeaderRecord record{context_.platform_settings.controller_name,
+                        context_.platform_settings.incarnation};
+    Transaction transaction;
+    transaction.comparisons = {{keys::kLeader, 0}};
+    transaction.writes = {{keys::kLeader, encode_leader(record), campaign.lease}};
+    context_.store.transaction(RequestPriority::leadership, std::move(transaction),
+                               [this, campaign](Ms at, const StoreResponse& response) {
+                                   on_leader_key_written(at, campaign, response);
+                               });
+}
+
+void Leadership::on_leader_key_written(Ms now, const Campaign& campaign,
+                                       const StoreResponse& response) {
+    campaigning_ = false;
+    if (response.status != StoreStatus::ok) {
+        // Lost, or unknown: without its lease a late copy of the write fails too.
+        context_.store.lease_revoke(campaign.lease, context_.out);
+        campaign_at_ = now + kCampaignRetry + context_.jitter(kMaxCampaignRetryDelay);
+        return;
+    }
+    if (response.revision <= known_fencing_token_) {
+        context_.store.lease_revoke(campaign.lease, context_.out);
+        campaign_at_ = now + kCampaignRetry;
+        return;
+    }
+    begin_term(now, campaign, response.revision);
+}
+
+void Leadership::begin_term(Ms now, const Campaign& campaign, std::uint64_t fencing_token) {
+    fencing_token_ = fencing_token;
+    known_fencing_token_ = fencing_token;
+    known_leader_ = context_.platform_settings.controller_name;
+    lease_ = campaign.lease;
+    valid_until_ = lease_valid_until(campaign.started_at, campaign.ttl);
+    renew_at_ = now + campaign.ttl / kRenewalsPerTtl;
+    renewing_ = false;
+    context_.store.set_leading(true);
+    spdlog::info("elected leader with fencing token {}", fencing_token_);
+    if (on_elected) {
+        on_elected(now);
+    }
+}
+
 void Leadership::renew(Ms now) {
     renewing_ = true;
-    Ms ttl = to_ms(context_.operator_settings.lease_ttl_s);
+    Renewal renewal{now, ttl(), fencing_token_};
     context_.store.lease_renew(
         lease_,
-        [this, sent = now, ttl, fencing_token = fencing_token_](Ms at, const StoreResponse& r) {
-            if (fencing_token != fencing_token_) {
-                return;
-            }
-            renewing_ = false;
-            if (r.status == StoreStatus::ok) {
-                valid_until_ = std::max(valid_until_, lease_valid_until(sent, ttl));
-                renew_at_ = sent + ttl / 4;
-            } else if (r.status == StoreStatus::not_found) {
-                depose(at, "lease ended");
-            } else {
-                renew_at_ = at + 200;
-            }
+        [this, renewal](Ms at, const StoreResponse& response) {
+            on_renewed(at, renewal, response);
         },
         context_.out);
 }
 
+void Leadership::on_renewed(Ms now, const Renewal& renewal, const StoreResponse& response) {
+    if (renewal.fencing_token != fencing_token_) {
+        return;
+    }
+    renewing_ = false;
+    if (response.status == StoreStatus::ok) {
+        valid_until_ = std::max(valid_until_, lease_valid_until(renewal.sent_at, renewal.ttl));
+        renew_at_ = renewal.sent_at + renewal.ttl / kRenewalsPerTtl;
+    } else if (response.status == StoreStatus::not_found) {
+        depose(now, "lease expired");
+    } else {
+        renew_at_ = now + kRenewalRetry;
+    }
+}
+
 void Leadership::replica_changed(Ms now) {
     std::uint64_t version = context_.replica.leader_version;
     if (version > known_fencing_token_ && context_.replica.leader) {
         observe_fencing_token(now, version, context_.replica.leader->controller);
     }
     if (leading() && context_.replica.revision() >= fencing_token_ && version != fencing_token_) {
-        depose(now, "leader key gone");
+        depose(now, "leader key deleted");
     }
 }
 
@@ -118,18 +149,18 @@
         known_fencing_token_ = fencing_token;
         known_leader_ = leader;
         if (leading() && fencing_token > fencing_token_) {
-            depose(now, "a higher token is in force");
+            depose(now, "a higher fencing token is in force");
         }
     } else if (known_leader_.empty()) {
         known_leader_ = leader;
     }
 }
 
-void Leadership::depose(Ms now, const char* why) {
+void Leadership::depose(Ms now, const char* reason) {
     if (!leading()) {
         return;
     }
-    spdlog::info("no longer leader with token {}: {}", fencing_token_, why);
+    spdlog::info("no longer leader with fencing token {}: {}", fencing_token_, reason);
     fencing_token_ = 0;
     if (known_leader_ == context_.platform_settings.controller_name) {
         known_leader_.clear();
