--- a/src/coordination/controller/user_requests.cpp
+++ b/src/coordination/controller/user_requests.cpp
@@ -4,346 +4,431 @@
 
 #include <algorithm>
 
+#include "coordination/messages/http_status.hpp"
+
 namespace walkford {
 
 namespace {
-// Users wait 5 s for a submission or cancellation and 2 s for a poll; what can't be decided in good
-// time is given back at once, with when to come again.
+// Users wait 5 s for a submission or cancellation and 2 s for a poll; what can't be decided in time
+// is answered at once, with when to come again.
 constexpr Ms kWriteBudget = 4000;
 constexpr Ms kPollBudget = 1500;
-constexpr std::size_t kLeastOpen = 400;  // ... by as many as a third of the node's sockets
+// How many requests may be open: a share of the process's file descriptors, but so many at least.
+constexpr std::size_t kMinOpenRequests = 400;
+constexpr std::size_t kOpenRequestsDivisor = 3;
+constexpr int kRetryAfterOverloadS = 2;
 // When to come back with what waits for an upgrade: controllers restart within seconds.
 constexpr int kRetryAfterUpgradeS = 5;
+constexpr int kMaxCreateRetries = 2;
+constexpr int kMaxCancelRetries = 4;
+constexpr std::size_t kMaxJobClasses = 256;
 constexpr std::size_t kTaskRecordBytes = 48;  // of a placement record, one task
 constexpr std::size_t kMinTasksPerRecord = 4;
 constexpr std::size_t kMaxTasksPerRecord = 64;
+constexpr double kQuotaTolerance = 1e-6;
+
+constexpr const char* kStoreUnavailable = "the state service does not answer";
+constexpr const char* kTryAgain = "try again";
+constexpr const char* kNoSuchJob = "no such job";
 }  // namespace
 
-void UserRequests::answer(RequestId request, UserResponse a) {
-    auto it = open_.find(request);
-    if (it == open_.end()) {
-        return;  // answered already, or given up
+void UserRequests::tick(Ms now) {
+    std::vector<RequestId> expired;
+    for (const auto& [request, deadline] : deadlines_) {
+        if (now >= deadline) {
+            expired.push_back(request);
+        }
+    }
+    for (RequestId request : expired) {
+        respond_with_failure(request, {http_status::kServiceUnavailable, "not decided in time"});
     }
-    open_.erase(it);
-    a.request = request;
-    context_.out.emplace_back(std::move(a));
 }
 
-void UserRequests::refuse(RequestId request, int code, const std::string& error, int retry_after) {
-    UserResponse a;
-    a.code = code;
-    a.error = error;
-    a.retry_after_s = code == 503 || code == 429 ? retry_after : 0;
-    answer(request, std::move(a));
+bool UserRequests::admit(Ms now, RequestId request, Ms budget) {
+    deadlines_[request] = now + budget;
+    std::size_t max_open = std::max<std::size_t>(
+        kMinOpenRequests, context_.platform_settings.fd_limit / kOpenRequestsDivisor);
+    if (deadlines_.size() <= max_open) {
+        return true;
+    }
+    respond_with_failure(request, {http_status::kServiceUnavailable, "too many requests wait",
+                                   kRetryAfterOverloadS});
+    return false;
 }
 
-void UserRequests::tick(Ms now) {
-    std::vector<RequestId> late;
-    for (const auto& [request, open] : open_) {
-        if (now >= open.until) {
-            late.push_back(request);
-        }
+void UserRequests::respond(RequestId request, UserResponse response) {
+    if (deadlines_.erase(request) == 0) {
+        return;  // answered already, or timed out
     }
-    for (RequestId r : late) {
-        refuse(r, 503, "not decided in time");
+    response.request = request;
+    context_.out.emplace_back(std::move(response));
+}
+
+void UserRequests::respond_with_failure(RequestId request, const Failure& failure) {
+    bool may_retry = failure.code == http_status::kServiceUnavailable ||
+                     failure.code == http_status::kTooManyRequests;
+    UserResponse response;
+    response.code = failure.code;
+    response.error = failure.error;
+    response.retry_after_s = may_retry ? failure.retry_after_s : 0;
+    respond(request, std::move(response));
+}
+
+void UserRequests::respond_with_status(const JobRequest& job, int code, JobStatus status) {
+    UserResponse response;
+    response.code = code;
+    response.id = job.job_id;
+    response.status = status;
+    respond(job.request, std::move(response));
+}
+
+void UserRequests::respond_with_state(const JobRequest& job, ResponseDetail detail) {
+    UserResponse response;
+    response.code = http_status::kOk;
+    response.id = job.job_id;
+    response.with_counts = detail == ResponseDetail::with_counts;
+    if (auto ended = context_.replica.ended(job.job_id)) {
+        response.status = ended->cancelled ? JobStatus::cancelled : JobStatus::done;
+        response.done = ended->cancelled ? 0 : ended->tasks;
+    } else if (const StoredJob* stored_job = context_.replica.job(job.job_id)) {
+        StoreReplica::Counts counts = context_.replica.counts(job.job_id);
+        response.done = counts.done;
+        response.running = counts.running;
+        response.status = stored_job->record.cancelled ? JobStatus::cancelled
+                          : counts.running > 0         ? JobStatus::running
+                                                       : JobStatus::pending;
     }
+    respond(job.request, std::move(response));
 }
 
-void UserRequests::tell_state(RequestId request, const std::string& id, bool polled) {
-    UserResponse a;
-    a.code = 200;
-    a.id = id;
-    a.with_counts = polled;
-    if (auto ended = context_.replica.ended(id)) {
-        a.status = ended->cancelled ? JobStatus::cancelled : JobStatus::done;
-        a.done = ended->cancelled ? 0 : ended->tasks;
-    } else if (const StoredJob* job = context_.replica.job(id)) {
-        StoreReplica::Counts counts = context_.replica.counts(id);
-        a.done = counts.done;
-        a.running = counts.running;
-        a.status = job->record.cancelled ? JobStatus::cancelled
-                   : counts.running > 0  ? JobStatus::running
-                                         : JobStatus::pending;
-    }
-    answer(request, std::move(a));
+void UserRequests::respond_after_lookup(Ms now, const JobRequest& job, ResponseDetail detail,
+                                        Failure if_unknown) {
+    lookup(now, job,
+           [this, job, detail, if_unknown = std::move(if_unknown)](Ms, LookupResult result) {
+               if (result == LookupResult::found) {
+                   respond_with_state(job, detail);
+               } else {
+                   respond_with_failure(job.request, if_unknown);
+               }
+           });
 }
 
-void UserRequests::find_fresh(Ms now, RequestId request, const std::string& id, Found known,
-                              Found unknown) {
-    watcher_.barrier(now, [this, request, id, known = std::move(known),
-                           unknown = std::move(unknown)](Ms at, bool ok) {
-        if (!is_open(request)) {
-            return;
-        }
-        if (!ok) {
-            refuse(request, 503, "the state service does not answer");
-            return;
-        }
-        if (context_.replica.ended(id) || context_.replica.job(id)) {
-            known(at);
-            return;
-        }
-        // Not live by a proven view: it ended long ago or was never accepted. A job moves from the
-        // live to the ended ones in one transaction, so this later look can't miss it.
-        context_.store.get(
-            keys::ended(id),
-            [this, request, id, known, unknown](Ms then, const StoreResponse& r) {
-                if (!is_open(request)) {
-                    return;
-                }
-                if (r.status == StoreStatus::ok && r.rows.size() == 1 && r.rows[0].value) {
-                    if (auto ended = decode_ended(*r.rows[0].value)) {
-                        context_.replica.remember_ended(id, *ended);
-                        known(then);
-                        return;
-                    }
-                }
-                if (r.status == StoreStatus::not_found) {
-                    unknown(then);
-                } else {
-                    refuse(request, 503, "the state service does not answer");
-                }
-            },
-            context_.out);
+void UserRequests::lookup(Ms now, const JobRequest& job, LookupCallback then) {
+    watcher_.barrier(now, [this, job, then = std::move(then)](Ms at, bool confirmed) {
+        on_lookup_confirmed(at, job, confirmed, then);
     });
 }
 
-void UserRequests::tell_fresh(Ms now, RequestId request, const std::string& id, bool polled,
-                              Found unknown) {
-    find_fresh(
-        now, request, id, [this, request, id, polled](Ms) { tell_state(request, id, polled); },
-        std::move(unknown));
+void UserRequests::on_lookup_confirmed(Ms now, const JobRequest& job, bool confirmed,
+                                       const LookupCallback& then) {
+    if (!is_open(job.request)) {
+        return;
+    }
+    if (!confirmed) {
+        respond_with_failure(job.request, {http_status::kServiceUnavailable, kStoreUnavailable});
+        return;
+    }
+    if (context_.replica.ended(job.job_id) || context_.replica.job(job.job_id)) {
+        then(now, LookupResult::found);
+        return;
+    }
+    // Not live by a confirmed replica: it ended long ago or was never accepted. A job moves from
+    // the live to the ended ones in one transaction, so this later read can't miss it.
+    context_.store.get(
+        keys::ended(job.job_id),
+        [this, job, then](Ms at, const StoreResponse& response) {
+            on_ended_read(at, job, response, then);
+        },
+        context_.out);
 }
 
-bool UserRequests::admit(Ms now, RequestId request, const std::string& id, Ms budget) {
-    open_[request] = Open{id, now + budget};
-    if (open_.size() <=
-        std::max<std::size_t>(kLeastOpen, context_.platform_settings.fd_limit / 3)) {
-        return true;
+void UserRequests::on_ended_read(Ms now, const JobRequest& job, const StoreResponse& response,
+                                 const LookupCallback& then) {
+    if (!is_open(job.request)) {
+        return;
     }
-    refuse(request, 503, "too many requests wait", 2);
-    return false;
+    if (response.status == StoreStatus::not_found) {
+        then(now, LookupResult::not_found);
+        return;
+    }
+    bool has_value = response.status == StoreStatus::ok && response.rows.size() == 1 &&
+                     response.rows.front().value.has_value();
+    auto ended = has_value ? decode_ended(*response.rows.front().value) : std::nullopt;
+    if (!ended) {
+        respond_with_failure(job.request, {http_status::kServiceUnavailable, kStoreUnavailable});
+        return;
+    }
+    context_.replica.remember_ended(job.job_id, *ended);
+    then(now, LookupResult::found);
 }
 
-void UserRequests::poll(Ms now, const PollRequest& q) {
-    if (!admit(now, q.request, q.id, kPollBudget)) {
+void UserRequests::poll(Ms now, const PollRequest& poll) {
+    if (!admit(now, poll.request, kPollBudget)) {
         return;
     }
-    auto ended = context_.replica.ended(q.id);
-    const StoredJob* job = context_.replica.job(q.id);
-    if (ended || (job && job->record.cancelled)) {
-        tell_state(q.request, q.id, true);  // terminal: never changes, so it is never too old
+    JobRequest job{poll.request, poll.id};
+    const StoredJob* stored_job = context_.replica.job(poll.id);
+    if (context_.replica.ended(poll.id) || (stored_job && stored_job->record.cancelled)) {
+        // Terminal: it never changes, so the replica is never too old for it.
+        respond_with_state(job, ResponseDetail::with_counts);
         return;
     }
-    tell_fresh(now, q.request, q.id, true,
-               [this, request = q.request](Ms) { refuse(request, 404, "no such job"); });
+    respond_after_lookup(now, job, ResponseDetail::with_counts,
+                         {http_status::kNotFound, kNoSuchJob});
+}
+
+void UserRequests::submit(Ms now, SubmitRequest submission) {
+    const JobRequest job{submission.request, submission.spec.id};
+    if (!admit(now, job.request, kWriteBudget) || answered_early(now, submission, job)) {
+        return;
+    }
+    if (auto reason = validate(submission)) {
+        reject_permanently(now, job, *reason);
+        return;
+    }
+    Json record = encode_job({build_spec(submission), false}, context_.names);
+    if (record.dump().size() > context_.store.limits().value_bytes()) {
+        reject_permanently(now, job, "its description is too large to be stored");
+        return;
+    }
+    create(job, std::move(record), 0);
+}
+
+bool UserRequests::answered_early(Ms now, const SubmitRequest& submission, const JobRequest& job) {
+    constexpr int kUnavailable = http_status::kServiceUnavailable;
+    if (!watcher_.ready()) {
+        respond_with_failure(job.request, {kUnavailable, "recovering"});
+        return true;
+    }
+    // A known job is answered before its specification is validated: machine types and the
+    // specification may have changed since.
+    if (context_.replica.ended(job.job_id)) {
+        respond_with_state(job, ResponseDetail::status_only);
+        return true;
+    }
+    if (context_.replica.job(job.job_id)) {
+        respond_after_lookup(now, job, ResponseDetail::status_only, {kUnavailable, kTryAgain});
+        return true;
+    }
+    if (context_.machine_types.empty()) {
+        respond_with_failure(job.request, {kUnavailable, "machine types not known yet"});
+        return true;
+    }
+    // An older controller would take a service for an array, and record it as done.
+    if (submission.spec.service() && !context_.may_write(kFeatureServices)) {
+        respond_with_failure(job.request,
+                             {kUnavailable, "services are taken once all controllers are upgraded",
+                              kRetryAfterUpgradeS});
+        return true;
+    }
+    return false;
 }
 
-std::string UserRequests::judge(SubmitRequest& q) {
-    JobSpec& s = q.spec;
-    s.team = context_.names.teams.find(q.team_name);
-    if (s.team == kNone || s.team >= context_.platform_settings.teams.size()) {
+std::optional<std::string> UserRequests::validate(SubmitRequest& submission) const {
+    if (auto reason = resolve_names(submission)) {
+        return reason;
+    }
+    if (auto reason = validate_placement(submission.spec)) {
+        return reason;
+    }
+    return validate_quota(submission.spec);
+}
+
+std::optional<std::string> UserRequests::resolve_names(SubmitRequest& submission) const {
+    JobSpec& spec = submission.spec;
+    spec.team = context_.names.teams.find(submission.team_name);
+    if (spec.team == kNone || spec.team >= context_.platform_settings.teams.size()) {
         return "unknown team";
     }
-    if (q.zone_named) {
-        s.zone = context_.names.zones.find(q.zone_name);
-        if (s.zone == kNone) {
+    if (submission.zone_named) {
+        spec.zone = context_.names.zones.find(submission.zone_name);
+        if (spec.zone == kNone) {
             return "unknown zone";
         }
     }
-    if (q.machine_types_named) {
-        s.any_machine_type = false;
-        for (const std::string& name : q.machine_type_names) {
-            Id k = context_.names.machine_types.find(name);
-            if (k != kNone) {
-                s.machine_types.push_back(k);
+    if (submission.machine_types_named) {
+        spec.any_machine_type = false;
+        for (const std::string& name : submission.machine_type_names) {
+            Id machine_type = context_.names.machine_types.find(name);
+            if (machine_type != kNone) {
+                spec.machine_types.push_back(machine_type);
             }
         }
     }
-    std::set<Id> zones;  // where a task may be
-    for (const MachineType& k : context_.machine_types) {
-        if (!s.allows_machine_type(k.id) || !s.each.fits_in(k.size)) {
+    return std::nullopt;
+}
+
+std::set<Id> UserRequests::eligible_zones(const JobSpec& spec) const {
+    std::set<Id> zones;
+    for (const MachineType& machine_type : context_.machine_types) {
+        if (!spec.allows_machine_type(machine_type.id) || !spec.each.fits_in(machine_type.size)) {
             continue;
         }
-        for (Id zone : k.zones) {
-            if (s.zone == kNone || s.zone == zone) {
+        for (Id zone : machine_type.zones) {
+            if (spec.zone == kNone || spec.zone == zone) {
                 zones.insert(zone);
             }
         }
     }
+    return zones;
+}
+
+std::optional<std::string> UserRequests::validate_placement(const JobSpec& spec) const {
+    std::set<Id> zones = eligible_zones(spec);
     if (zones.empty()) {
         return "a task fits no allowed machine type";
     }
     // (Of an array, half of the tasks may run after the other half.)
-    if (s.starts_together() && s.spread && (s.one_zone || zones.size() < 2)) {
+    if (spec.starts_together() && spec.spread && (spec.one_zone || zones.size() < 2)) {
         return "all tasks at once and spread over zones, with one zone to be in";
     }
-    const Team& team = context_.platform_settings.teams[s.team];
-    double n = s.needed_at_once();
-    auto over = [&](double each, double limit) { return limit > 0 && each * n > limit + 1e-6; };
-    if (over(s.each.cpus, team.quota.cpus) || over(s.each.gpus, team.quota.gpus)) {
+    return std::nullopt;
+}
+
+std::optional<std::string> UserRequests::validate_quota(const JobSpec& spec) const {
+    const Team& team = context_.platform_settings.teams[spec.team];
+    double tasks = spec.needed_at_once();
+    auto exceeds = [tasks](double each, double quota) {
+        return quota > 0 && each * tasks > quota + kQuotaTolerance;
+    };
+    if (exceeds(spec.each.cpus, team.quota.cpus) || exceeds(spec.each.gpus, team.quota.gpus)) {
         return "needs more than the team's limit";
     }
-    return {};
+    return std::nullopt;
 }
 
-// Never accepted? Only a proven look may say so.
-void UserRequests::refuse_for_good(Ms now, RequestId request, const std::string& id,
-                                   const std::string& why) {
-    tell_fresh(now, request, id, false, [this, request, why, id](Ms) {
-        spdlog::info("refused {}: {}", id, why);
-        refuse(request, 422, why);
+// An earlier submission of the same job may have been accepted; only a linearizable lookup can
+// tell.
+void UserRequests::reject_permanently(Ms now, const JobRequest& job, const std::string& reason) {
+    lookup(now, job, [this, job, reason](Ms, LookupResult result) {
+        if (result == LookupResult::found) {
+            respond_with_state(job, ResponseDetail::status_only);
+            return;
+        }
+        spdlog::info("rejected {}: {}", job.job_id, reason);
+        respond_with_failure(job.request, {http_status::kUnprocessableEntity, reason});
     });
 }
 
-void UserRequests::submit(Ms now, SubmitRequest q) {
-    const std::string id = q.spec.id;
-    RequestId request = q.request;
-    if (!admit(now, request, id, kWriteBudget)) {
-        return;
-    }
-    if (!watcher_.ready()) {
-        refuse(request, 503, "recovering");
-        return;
-    }
-    // A known job is told of before its body is judged: types and bodies may have changed since.
-    if (context_.replica.ended(id)) {
-        tell_state(request, id, false);
-        return;
-    }
-    if (context_.replica.job(id)) {
-        tell_fresh(now, request, id, false,
-                   [this, request](Ms) { refuse(request, 503, "try again"); });
-        return;
-    }
-    if (context_.machine_types.empty()) {
-        refuse(request, 503, "machine types not known yet");
-        return;
-    }
-    // An older controller would take it for a batch, and call it done.
-    if (q.spec.service() && !context_.may_write(kFeatureServices)) {
-        refuse(request, 503, "services are taken once all controllers are upgraded",
-               kRetryAfterUpgradeS);
-        return;
-    }
-    std::string why = judge(q);
-    if (!why.empty()) {
-        refuse_for_good(now, request, id, why);
-        return;
-    }
-    JobSpec spec = std::move(q.spec);
+JobSpec UserRequests::build_spec(SubmitRequest& submission) {
+    JobSpec spec = std::move(submission.spec);
     // Users choose these names; beyond a few hundred classes they are not told apart.
-    if (context_.names.job_classes.size() < 256 ||
-        context_.names.job_classes.find(q.job_class_name) != kNone) {
-        spec.job_class = context_.names.job_classes.intern(q.job_class_name);
+    if (context_.names.job_classes.size() < kMaxJobClasses ||
+        context_.names.job_classes.find(submission.job_class_name) != kNone) {
+        spec.job_class = context_.names.job_classes.intern(submission.job_class_name);
     }
-    if (!q.image_name.empty()) {
-        spec.image = context_.names.images.intern(q.image_name);
+    if (!submission.image_name.empty()) {
+        spec.image = context_.names.images.intern(submission.image_name);
     }
-    std::size_t value_bytes = context_.store.limits().value_bytes();
     // Sized so that a record with every task on another machine stays within a value.
+    std::size_t tasks_per_record = context_.store.limits().value_bytes() / kTaskRecordBytes;
     spec.tasks_per_record = static_cast<std::uint32_t>(
-        std::clamp(value_bytes / kTaskRecordBytes, kMinTasksPerRecord, kMaxTasksPerRecord));
-    Json record = encode_job({std::move(spec), false}, context_.names);
-    if (record.dump().size() > value_bytes) {
-        refuse_for_good(now, request, id, "its description is too large to be stored");
-        return;
-    }
-    create(request, id, std::move(record), 0);
+        std::clamp(tasks_per_record, kMinTasksPerRecord, kMaxTasksPerRecord));
+    return spec;
 }
 
-void UserRequests::create(RequestId request, const std::string& id, Json record, int tries) {
+void UserRequests::create(const JobRequest& job, Json record, int retries) {
     Transaction transaction;
-    transaction.comparisons = {{keys::job(id), 0}, {keys::ended(id), 0}};
-    transaction.writes = {{keys::job(id), record, 0}};
+    transaction.comparisons = {{keys::job(job.job_id), 0}, {keys::ended(job.job_id), 0}};
+    transaction.writes = {{keys::job(job.job_id), record, 0}};
     context_.store.transaction(
         RequestPriority::accept, std::move(transaction),
-        [this, request, id, record = std::move(record), tries](Ms at, const StoreResponse& r) {
-            if (!is_open(request)) {
-                return;
-            }
-            if (r.status == StoreStatus::ok) {
-                UserResponse a;
-                a.code = 201;
-                a.id = id;
-                a.status = JobStatus::pending;
-                answer(request, std::move(a));
-            } else if (r.status == StoreStatus::conflict) {
-                // Accepted already: by another node, or by an earlier copy of this very
-                // write.
-                tell_fresh(at, request, id, false,
-                           [this, request](Ms) { refuse(request, 503, "try again"); });
-            } else if (r.status == StoreStatus::no_response && tries < 2) {
-                // May have happened. The same write again is harmless: it creates or
-                // finds the job.
-                create(request, id, record, tries + 1);
-            } else {
-                refuse(request, 503, "the state service does not answer");
-            }
+        [this, job, record = std::move(record), retries](Ms at, const StoreResponse& response) {
+            on_created(at, job, record, retries, response);
         });
 }
 
-void UserRequests::cancel(Ms now, const CancelRequest& q) {
-    if (!admit(now, q.request, q.id, kWriteBudget)) {
+void UserRequests::on_created(Ms now, const JobRequest& job, const Json& record, int retries,
+                              const StoreResponse& response) {
+    if (!is_open(job.request)) {
+        return;
+    }
+    if (response.status == StoreStatus::ok) {
+        respond_with_status(job, http_status::kCreated, JobStatus::pending);
+    } else if (response.status == StoreStatus::conflict) {
+        // Accepted already: by another controller, or by an earlier copy of this very write.
+        respond_after_lookup(now, job, ResponseDetail::status_only,
+                             {http_status::kServiceUnavailable, kTryAgain});
+    } else if (response.status == StoreStatus::no_response && retries < kMaxCreateRetries) {
+        // It may have been executed. The same write again is harmless: it creates or finds the job.
+        create(job, record, retries + 1);
+    } else {
+        respond_with_failure(job.request, {http_status::kServiceUnavailable, kStoreUnavailable});
+    }
+}
+
+void UserRequests::cancel(Ms now, const CancelRequest& cancellation) {
+    if (!admit(now, cancellation.request, kWriteBudget)) {
         return;
     }
-    try_cancel(now, q.request, q.id, 0);
+    try_cancel(now, {cancellation.request, cancellation.id}, 0);
 }
 
-void UserRequests::try_cancel(Ms now, RequestId request, const std::string& id, int tries) {
-    if (!is_open(request)) {
+void UserRequests::try_cancel(Ms now, const JobRequest& job, int retries) {
+    if (!is_open(job.request)) {
         return;
     }
-    const StoredJob* job = context_.replica.job(id);
-    if (context_.replica.ended(id) || (job && job->record.cancelled)) {
-        tell_state(request, id, false);
+    const StoredJob* stored_job = context_.replica.job(job.job_id);
+    if (context_.replica.ended(job.job_id) || (stored_job && stored_job->record.cancelled)) {
+        respond_with_state(job, ResponseDetail::status_only);
         return;
     }
-    if (tries > 4) {
-        refuse(request, 503, "try again");
+    if (retries > kMaxCancelRetries) {
+        respond_with_failure(job.request, {http_status::kServiceUnavailable, kTryAgain});
         return;
     }
-    if (!job) {
-        find_fresh(
-            now, request, id,
-            [this, request, id, tries](Ms at) { try_cancel(at, request, id, tries + 1); },
-            [this, request](Ms) { refuse(request, 404, "no such job"); });
+    if (stored_job) {
+        write_cancellation(job, *stored_job, retries);
         return;
     }
-    JobRecord record = job->record;
+    lookup(now, job, [this, job, retries](Ms at, LookupResult result) {
+        if (result == LookupResult::found) {
+            try_cancel(at, job, retries + 1);
+        } else {
+            respond_with_failure(job.request, {http_status::kNotFound, kNoSuchJob});
+        }
+    });
+}
+
+void UserRequests::write_cancellation(const JobRequest& job, const StoredJob& stored_job,
+                                      int retries) {
+    JobRecord record = stored_job.record;
     record.cancelled = true;
-    Transaction transaction;
-    transaction.comparisons = {{keys::job(id), job->version}};
     Json value = encode_job(record, context_.names);
     if (value.dump().size() > context_.store.limits().value_bytes()) {
         value = encode_cancelled_job(record.spec, context_.names);
     }
-    transaction.writes = {{keys::job(id), std::move(value), 0}};
-    context_.store.transaction(
-        RequestPriority::cancel, std::move(transaction),
-        [this, request, id, tries](Ms at, const StoreResponse& r) {
-            if (!is_open(request)) {
-                return;
-            }
-            if (r.status == StoreStatus::ok) {
-                UserResponse a;
-                a.code = 200;
-                a.id = id;
-                a.status = JobStatus::cancelled;
-                answer(request, std::move(a));
-            } else if (r.status == StoreStatus::conflict || r.status == StoreStatus::no_response) {
-                // It changed meanwhile, or it is unknown whether it did: look again.
-                watcher_.barrier(at, [this, request, id, tries](Ms then, bool ok) {
-                    if (ok) {
-                        try_cancel(then, request, id, tries + 1);
-                    } else {
-                        refuse(request, 503, "the state service does not answer");
-                    }
-                });
-            } else {
-                refuse(request, 503, "the state service does not answer");
-            }
-        });
+    Transaction transaction;
+    transaction.comparisons = {{keys::job(job.job_id), stored_job.version}};
+    transaction.writes = {{keys::job(job.job_id), std::move(value), 0}};
+    context_.store.transaction(RequestPriority::cancel, std::move(transaction),
+                               [this, job, retries](Ms at, const StoreResponse& response) {
+                                   on_cancellation_written(at, job, retries, response);
+                               });
+}
+
+void UserRequests::on_cancellation_written(Ms now, const JobRequest& job, int retries,
+                                           const StoreResponse& response) {
+    if (!is_open(job.request)) {
+        return;
+    }
+    if (response.status == StoreStatus::ok) {
+        respond_with_status(job, http_status::kOk, JobStatus::cancelled);
+        return;
+    }
+    if (response.status != StoreStatus::conflict && response.status != StoreStatus::no_response) {
+        respond_with_failure(job.request, {http_status::kServiceUnavailable, kStoreUnavailable});
+        return;
+    }
+    // The job changed meanwhile, or it is unknown whether it did: read again.
+    watcher_.barrier(now, [this, job, retries](Ms at, bool confirmed) {
+        if (confirmed) {
+            try_cancel(at, job, retries + 1);
+        } else {
+            respond_with_failure(job.request,
+                                 {http_status::kServiceUnavailable, kStoreUnavailable});
+        }
+    });
 }
 
 }  // namespace walkford
