--- a/src/coordination/context/controller_context.hpp
+++ b/src/coordination/context/controller_context.hpp
@@ -1,8 +1,12 @@
-// What the modules of one controller share: settings, the replica of the store, clients, outputs.
+// What the modules of one controller share: settings, the replica of the state service, clients,
+// and the outputs of the current step.
 #pragma once
 
+#include <algorithm>
 #include <functional>
 #include <random>
+#include <string>
+#include <vector>
 
 #include "coordination/context/cloud_client.hpp"
 #include "coordination/context/pending_calls.hpp"
@@ -15,19 +19,21 @@
 
 // Owned by the Controller; every module below it holds a reference. Lives as long as the process.
 struct ControllerContext {
-    ControllerContext(PlatformSettings p, OperatorSettings q, std::uint64_t seed)
-        : platform_settings(std::move(p)),
-          operator_settings(std::move(q)),
+    // `seed`: of the random delays. Interns the names of teams and zones in the order of the
+    // settings, so that their ids are indices there.
+    ControllerContext(PlatformSettings platform, OperatorSettings operators, std::uint64_t seed)
+        : platform_settings(std::move(platform)),
+          operator_settings(std::move(operators)),
           replica(names),
           store(platform_settings.store_limits, platform_settings.next_store_limits,
                 static_cast<std::uint32_t>(platform_settings.peers.size() + 1)),
           cloud(platform_settings.cloud_rps),
           rng(seed) {
-        for (const Team& t : platform_settings.teams) {
-            names.teams.intern(t.name);
+        for (const Team& team : platform_settings.teams) {
+            names.teams.intern(team.name);
         }
-        for (const std::string& z : platform_settings.zones) {
-            names.zones.intern(z);
+        for (const std::string& zone : platform_settings.zones) {
+            names.zones.intern(zone);
         }
     }
     PlatformSettings platform_settings;
@@ -40,27 +46,29 @@
     std::uint32_t cluster_level = kFeatureNone;  // the lowest of all controllers, see FeatureLevel
     std::vector<MachineType> machine_types;      // empty: not known yet
     std::mt19937_64 rng;
-    Outputs out;
+    Outputs out;  // of the current step
 
-    // Reads microseconds spent; injected, so that tests stay the same every time.
+    // Reads microseconds spent; injected, so that tests are reproducible.
     std::function<std::int64_t()> stopwatch = [] { return 0; };
 
+    // May stored forms of that feature level be written? Only once all controllers read them.
     bool may_write(std::uint32_t feature) const {
         return cluster_level >= feature && platform_settings.feature_level >= feature;
     }
     // All controllers once ran a later version than this one.
     bool newer_than_supported() const { return cluster_level > platform_settings.feature_level; }
 
-    // How long after a proof of the view a report may be answered: by cancel_s after it, all leases
-    // that such an answer renews are over. (A lease, drift, and what report and answer take on
-    // their way.)
+    // How long after the replica was confirmed a heartbeat may be answered: all leases that such an
+    // answer renews are over by cancel_s after the confirmation. (A lease, clock drift, and what
+    // heartbeat and answer take on their way.)
     Ms cancel_span() const {
-        constexpr Ms kOnTheWay = 2500;
+        constexpr Ms kTransit = 2500;
         Ms span = to_ms(platform_settings.cancel_s) - with_drift(to_ms(platform_settings.lease_s)) -
-                  kOnTheWay;
+                  kTransit;
         return std::max<Ms>(0, span);
     }
 
+    // Draws a random delay from 0 to `most`.
     Ms jitter(Ms most) { return std::uniform_int_distribution<Ms>(0, most)(rng); }
 };
 
--- a/src/coordination/context/pending_calls.hpp
+++ b/src/coordination/context/pending_calls.hpp
@@ -1,4 +1,4 @@
-// Open calls of a controller and what waits for their responses.
+// Open calls of a controller, and the callbacks that wait for their responses.
 #pragma once
 
 #include <functional>
@@ -8,28 +8,34 @@
 
 namespace walkford {
 
-// Pairs replies with what waits for them; a reply to a call that nobody remembers is dropped.
-template <typename Reply>
+// Matches responses to calls by their CallId; a response to a call that is not open is ignored.
+// `Response` needs a member `call`.
+template <typename Response>
 class PendingCalls {
   public:
-    using Then = std::function<void(Ms, const Reply&)>;
+    // Called with the time of the response, and the response.
+    using Then = std::function<void(Ms, const Response&)>;
+
+    // Opens a call, and returns the id to send with it.
     CallId open(Then then) {
-        CallId id = next_++;
-        pending_.emplace(id, std::move(then));
-        return id;
+        CallId call = next_call_++;
+        pending_.emplace(call, std::move(then));
+        return call;
     }
-    void reply(Ms now, const Reply& reply) {
-        auto it = pending_.find(reply.call);
-        if (it == pending_.end()) {
+    // Closes the call that the response belongs to, then runs its callback.
+    void reply(Ms now, const Response& response) {
+        auto entry = pending_.find(response.call);
+        if (entry == pending_.end()) {
             return;
         }
-        Then then = std::move(it->second);
-        pending_.erase(it);
-        then(now, reply);
+        // The callback may open further calls: the entry must be gone before.
+        Then then = std::move(entry->second);
+        pending_.erase(entry);
+        then(now, response);
     }
 
   private:
-    CallId next_ = 1;
+    CallId next_call_ = 1;
     std::unordered_map<CallId, Then> pending_;
 };
 
--- a/src/coordination/messages/inputs.hpp
+++ b/src/coordination/messages/inputs.hpp
@@ -1,5 +1,5 @@
-// What goes into the state machine of a controller, decoded: requests of users and workers,
-// responses to its own calls, heartbeats of its peers.
+// Inputs of a controller's state machine, decoded: requests of users and workers, responses to its
+// own calls, and heartbeats of its peers.
 #pragma once
 
 #include <optional>
@@ -13,30 +13,34 @@
 
 namespace walkford {
 
+// A user submits a job. Names that can only be resolved by a controller come beside the spec.
 struct SubmitRequest {
     RequestId request = 0;
     JobSpec spec;
-    // What can only be judged with the machine types known.
-    bool zone_named = false;
+    bool zone_named = false;  // the job is to run in zone_name only
     std::string zone_name;
-    bool machine_types_named = false;
+    bool machine_types_named = false;  // the job is to run on machine_type_names only
     std::vector<std::string> machine_type_names;
     std::string team_name;
     std::string job_class_name;
-    std::string image_name;
+    std::string image_name;  // empty: none
 };
+// A user asks for the state of a job.
 struct PollRequest {
     RequestId request = 0;
-    std::string id;
+    std::string id;  // of the job
 };
+// A user cancels a job.
 struct CancelRequest {
     RequestId request = 0;
-    std::string id;
+    std::string id;  // of the job
 };
+// A load balancer's health check: may users be sent to this controller?
 struct ReadyRequest {
     RequestId request = 0;
 };
 
+// A worker's heartbeat; its response carries commands.
 struct HeartbeatRequest {
     RequestId request = 0;
     WorkerStatus worker_status;
@@ -55,16 +59,18 @@
     unexpected,    // any other answer
 };
 
+// The state service's response to a StoreRequest; which fields are set depends on the operation.
 struct StoreResponse {
     CallId call = 0;
     StoreStatus status = StoreStatus::no_response;
-    std::uint64_t revision = 0;
-    std::uint64_t lease = 0;
-    std::vector<StoreEntry> rows;
-    bool more = false;
-    std::vector<std::string> failed;
+    std::uint64_t revision = 0;       // of the store; of a transaction: the version it wrote
+    std::uint64_t lease = 0;          // the lease that was granted
+    std::vector<StoreEntry> rows;     // get, list and changes
+    bool more = false;                // list: there are further pages
+    std::vector<std::string> failed;  // conflict: the keys whose comparison failed
 };
 
+// A machine as the cloud lists it.
 struct CloudMachine {
     std::string name;
     std::string address;
@@ -72,7 +78,7 @@
     std::string zone;
     bool spot = false;
     CloudMachineState status = CloudMachineState::unlisted;
-    double age_s = 0;
+    double age_s = 0;  // how long the cloud has had it
 };
 // How the cloud answered a request.
 enum class CloudCallStatus : std::uint8_t {
@@ -85,13 +91,14 @@
     unexpected,    // any other answer
 };
 
+// The cloud's response to a CloudRequest; which fields are set depends on the operation.
 struct CloudResponse {
     CallId call = 0;
     CloudCallStatus status = CloudCallStatus::no_response;
-    std::vector<MachineType> machine_types;
-    std::vector<std::string> names;
-    std::vector<CloudMachine> machines;
-    bool more = false;
+    std::vector<MachineType> machine_types;  // list_machine_types
+    std::vector<std::string> names;          // scale_out: of the machines that were requested
+    std::vector<CloudMachine> machines;      // list
+    bool more = false;                       // list: there are further pages
 };
 
 // How a worker answered commands sent to it directly.
@@ -102,16 +109,19 @@
     unexpected,  // any other answer
 };
 
+// A worker's response to a WorkerRequest.
 struct WorkerResponse {
     CallId call = 0;
     WorkerCallStatus status = WorkerCallStatus::no_response;
-    std::optional<WorkerStatus> worker_status;
+    std::optional<WorkerStatus> worker_status;  // after the commands were executed
 };
 
+// A heartbeat of another controller was received.
 struct PeerInput {
-    std::size_t peer = 0;
+    std::size_t peer = 0;  // index in PlatformSettings::peers
     PeerHeartbeat fact;
 };
+// Nothing arrived, but the time of the last WakeAt has come.
 struct TickInput {};
 
 using Input =
