--- a/src/coordination/controller/peer_heartbeats.hpp
+++ b/src/coordination/controller/peer_heartbeats.hpp
@@ -15,6 +15,7 @@
 // references must outlive it.
 class PeerHeartbeats {
   public:
+    // One monitor for each peer in the settings.
     PeerHeartbeats(ControllerContext& context, Leadership& leadership, const ActivityTimes& times);
 
     // Sends heartbeats when they are due.
@@ -33,6 +34,7 @@
     bool received_within(Ms now, std::size_t peer, Ms span) const {
         return monitors_.at(peer).received_within(now, span);
     }
+    // What is known of each peer.
     const std::vector<PeerMonitor>& monitors() const { return monitors_; }
     // Until when every response that any peer gave a user is covered by our replica; the lowest of
     // PeerMonitor::responses_covered_until.
--- a/src/coordination/controller/user_requests.cpp
+++ b/src/coordination/controller/user_requests.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 
+#include "coordination/controller/submission_validation.hpp"
 #include "coordination/messages/http_status.hpp"
 
 namespace walkford {
@@ -25,7 +26,6 @@
 constexpr std::size_t kTaskRecordBytes = 48;  // of a placement record, one task
 constexpr std::size_t kMinTasksPerRecord = 4;
 constexpr std::size_t kMaxTasksPerRecord = 64;
-constexpr double kQuotaTolerance = 1e-6;
 
 constexpr const char* kStoreUnavailable = "the state service does not answer";
 constexpr const char* kTryAgain = "try again";
@@ -182,7 +182,7 @@
     if (!admit(now, job.request, kWriteBudget) || answered_early(now, submission, job)) {
         return;
     }
-    if (auto reason = validate(submission)) {
+    if (auto reason = validate_submission(context_, submission)) {
         reject_permanently(now, job, *reason);
         return;
     }
@@ -224,79 +224,6 @@
     return false;
 }
 
-std::optional<std::string> UserRequests::validate(SubmitRequest& submission) const {
-    if (auto reason = resolve_names(submission)) {
-        return reason;
-    }
-    if (auto reason = validate_placement(submission.spec)) {
-        return reason;
-    }
-    return validate_quota(submission.spec);
-}
-
-std::optional<std::string> UserRequests::resolve_names(SubmitRequest& submission) const {
-    JobSpec& spec = submission.spec;
-    spec.team = context_.names.teams.find(submission.team_name);
-    if (spec.team == kNone || spec.team >= context_.platform_settings.teams.size()) {
-        return "unknown team";
-    }
-    if (submission.zone_named) {
-        spec.zone = context_.names.zones.find(submission.zone_name);
-        if (spec.zone == kNone) {
-            return "unknown zone";
-        }
-    }
-    if (submission.machine_types_named) {
-        spec.any_machine_type = false;
-        for (const std::string& name : submission.machine_type_names) {
-            Id machine_type = context_.names.machine_types.find(name);
-            if (machine_type != kNone) {
-                spec.machine_types.push_back(machine_type);
-            }
-        }
-    }
-    return std::nullopt;
-}
-
-std::set<Id> UserRequests::eligible_zones(const JobSpec& spec) const {
-    std::set<Id> zones;
-    for (const MachineType& machine_type : context_.machine_types) {
-        if (!spec.allows_machine_type(machine_type.id) || !spec.each.fits_in(machine_type.size)) {
-            continue;
-        }
-        for (Id zone : machine_type.zones) {
-            if (spec.zone == kNone || spec.zone == zone) {
-                zones.insert(zone);
-            }
-        }
-    }
-    return zones;
-}
-
-std::optional<std::string> UserRequests::validate_placement(const JobSpec& spec) const {
-    std::set<Id> zones = eligible_zones(spec);
-    if (zones.empty()) {
-        return "a task fits no allowed machine type";
-    }
-    // (Of an array, half of the tasks may run after the other half.)
-    if (spec.starts_together() && spec.spread && (spec.one_zone || zones.size() < 2)) {
-        return "all tasks at once and spread over zones, with one zone to be in";
-    }
-    return std::nullopt;
-}
-
-std::optional<std::string> UserRequests::validate_quota(const JobSpec& spec) const {
-    const Team& team = context_.platform_settings.teams[spec.team];
-    double tasks = spec.needed_at_once();
-    auto exceeds = [tasks](double each, double quota) {
-        return quota > 0 && each * tasks > quota + kQuotaTolerance;
-    };
-    if (exceeds(spec.each.cpus, team.quota.cpus) || exceeds(spec.each.gpus, team.quota.gpus)) {
-        return "needs more than the team's limit";
-    }
-    return std::nullopt;
-}
-
 // An earlier submission of the same job may have been accepted; only a linearizable lookup can
 // tell.
 void UserRequests::reject_permanently(Ms now, const JobRequest& job, const std::string& reason) {
--- a/src/coordination/controller/user_requests.hpp
+++ b/src/coordination/controller/user_requests.hpp
@@ -3,7 +3,6 @@
 
 #include <functional>
 #include <optional>
-#include <set>
 #include <string>
 #include <unordered_map>
 
@@ -72,13 +71,6 @@
 
     // True if the submission was answered without looking at what it asks for.
     bool answered_early(Ms now, const SubmitRequest& submission, const JobRequest& job);
-    // Resolves the names in the submission. Nothing: the job can run; otherwise why it never can.
-    std::optional<std::string> validate(SubmitRequest& submission) const;
-    std::optional<std::string> resolve_names(SubmitRequest& submission) const;
-    std::optional<std::string> validate_placement(const JobSpec& spec) const;
-    std::optional<std::string> validate_quota(const JobSpec& spec) const;
-    // The zones in which a task of the job fits an allowed machine type.
-    std::set<Id> eligible_zones(const JobSpec& spec) const;
     void reject_permanently(Ms now, const JobRequest& job, const std::string& reason);
     JobSpec build_spec(SubmitRequest& submission);
     void create(const JobRequest& job, Json record, int retries);
