--- a/src/bookkeeping/free_capacity.hpp
+++ b/src/bookkeeping/free_capacity.hpp
@@ -7,18 +7,10 @@
 #include <vector>
 
 #include "bookkeeping/cluster_state.hpp"
+#include "bookkeeping/machine_group_key.hpp"
 
 namespace walkford {
 
-// What machines of one group have in common. Groups are numbered in the order of their first
-// machine, not by this key.
-struct MachineGroupKey {
-    Id machine_type = kNone;
-    Id zone = kNone;
-    bool spot = false;
-    auto operator<=>(const MachineGroupKey&) const = default;
-};
-
 // A copy of what the machines have free. Built at the beginning of a round; whoever assigns a task
 // to a machine, or takes one off it, calls update().
 class FreeCapacity {
--- a/src/coordination/cloud/capacity_backoff.hpp
+++ b/src/coordination/cloud/capacity_backoff.hpp
@@ -3,7 +3,7 @@
 
 #include <map>
 
-#include "coordination/cloud/machine_group_key.hpp"
+#include "bookkeeping/machine_group_key.hpp"
 
 namespace walkford {
 
--- /dev/null
+++ b/tests/fencing_test.cpp
@@ -0,0 +1,123 @@
+// What protects a task from running twice: durable placements, fencing tokens, stale heartbeats.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstddef>
+
+#include "leader_bench.hpp"
+
+namespace walkford {
+namespace {
+
+TEST(Fencing, SendsRunOnlyOnceThePlacementIsDurable) {
+    LeaderBench bench;
+    bench.lead({{"host-1", 0}});
+    bench.answer_writes = false;
+    bench.job(bench.spec("j-1", 4));
+    bench.pass(600);
+    EXPECT_EQ(bench.where("j-1"), "host-1");
+    EXPECT_TRUE(bench.heartbeat("host-1").empty());
+    ASSERT_FALSE(bench.written.empty());
+    EXPECT_EQ(bench.written.back().comparisons[0].key, keys::kLeader);
+    EXPECT_EQ(bench.written.back().comparisons[0].version, 50U);
+}
+
+TEST(Fencing, RepeatsRunOnlyAfterALaterHeartbeatLacksTheTask) {
+    LeaderBench bench;
+    bench.lead({{"host-1", 0}});
+    bench.job(bench.spec("j-1", 4));
+    bench.pass(600);
+    auto commands = bench.heartbeat("host-1");
+    ASSERT_EQ(commands.size(), 1U);
+    EXPECT_EQ(commands[0].type, WorkerCommandType::run);
+    EXPECT_EQ(commands[0].attempt, 1U);
+    // The answer was lost: the next heartbeat still lacks it.
+    commands = bench.heartbeat("host-1");
+    ASSERT_EQ(commands.size(), 1U);
+    EXPECT_EQ(commands[0].attempt, 1U);
+    commands = bench.heartbeat("host-1", {{"j-1", 0, 1, TaskState::running, "", false}});
+    EXPECT_TRUE(commands.empty());
+}
+
+TEST(Fencing, IgnoresAStaleHeartbeat) {
+    LeaderBench bench;
+    bench.lead({{"host-1", 0}});
+    bench.job(bench.spec("j-1", 4));
+    bench.pass(600);
+    std::uint64_t saved = bench.sequence;
+    bench.sequence = 0;  // older than what was heard
+    EXPECT_TRUE(bench.heartbeat("host-1").empty());
+    bench.sequence = saved;
+    EXPECT_EQ(bench.heartbeat("host-1").size(), 1U);
+}
+
+TEST(Fencing, CountsAnInheritedTaskUntilItsMachineAnswersUnderOurToken) {
+    LeaderBench bench;
+    JobSpec s = bench.spec("j-1", 4);
+    bench.context->replica.apply(
+        {keys::job("j-1"), encode_job({s, false}, bench.context->names), 8});
+    bench.context->replica.apply(
+        {keys::placement_record("j-1", 0), encode_placement_record({{3, false, "host-1"}}), 9});
+    bench.lead({});
+    // The registry lists the machine.
+    bench.leader.reset();
+    RegistryRecord r;
+    r.machines.push_back({"host-1", 0, 0, false, false, false});
+    bench.context->replica.apply({keys::kRegistry, encode_registry(r, bench.context->names), 20});
+    bench.elect(60);
+    EXPECT_EQ(bench.where("j-1"), "host-1");
+    bench.heartbeat("host-1", {}, 50);  // it has seen the older token only: absence proves nothing
+    EXPECT_EQ(bench.where("j-1"), "host-1");
+    bench.pass(12000);  // longer than the lease, but an older leader may still answer it
+    EXPECT_EQ(bench.where("j-1"), "host-1");
+}
+
+// A member that gave up waiting is run again under the same attempt: a report from before that,
+// heard by a later leader, once made it count as gone while it ran with the others.
+TEST(Fencing, TakesNoProofFromAStaleStatusOfAWaitingGangMember) {
+    LeaderBench bench;
+    JobSpec s = bench.spec("j-1", 2, 2, true);
+    bench.context->replica.apply(
+        {keys::job("j-1"), encode_job({s, false}, bench.context->names), 20});
+    std::vector<TaskRecord> stored(2);
+    stored[0] = {1, false, "host-1"};
+    stored[1] = {1, false, "host-2"};
+    bench.context->replica.apply(
+        {keys::placement_record("j-1", 0), encode_placement_record(stored), 21});
+    RegistryRecord r;
+    r.first_scale_out_done = true;
+    r.machines = {{"host-1", 0, 0, false, false, false}, {"host-2", 0, 0, false, false, false}};
+    bench.context->replica.apply({keys::kRegistry, encode_registry(r, bench.context->names), 5});
+    bench.elect(50);
+    bench.heartbeat("host-2", {{"j-1", 1, 1, TaskState::running, "", false}}, 40);
+    bench.heartbeat("host-1", {{"j-1", 0, 1, TaskState::exited, "alone", false}}, 40);
+    bench.pass(500);
+    EXPECT_EQ(bench.where("j-1", 0), "host-1");
+    EXPECT_EQ(bench.where("j-1", 1), "host-2");
+    // Nor is it one that was never started: stopped with the others, it stays counted.
+    bench.context->replica.apply(
+        {keys::job("j-1"), encode_job({s, true}, bench.context->names), 30});
+    bench.leader->job_changed(bench.now, "j-1");
+    EXPECT_EQ(bench.where("j-1", 0), "host-1");
+    // Under our token it is a proof: the gang had begun, and goes nowhere without it.
+    bench.heartbeat("host-1", {{"j-1", 0, 1, TaskState::exited, "alone", false}}, 50);
+    EXPECT_EQ(bench.where("j-1", 0), "");
+}
+
+TEST(Fencing, MakesDoneDurableBeforeTheWorkerClearsIt) {
+    LeaderBench bench;
+    bench.lead({{"host-1", 0}});
+    bench.job(bench.spec("j-1", 4));
+    bench.pass(600);
+    bench.heartbeat("host-1");
+    bench.answer_writes = false;
+    auto commands = bench.heartbeat("host-1", {{"j-1", 0, 1, TaskState::exited, "done", false}});
+    bench.pass(300);
+    commands = bench.heartbeat("host-1", {{"j-1", 0, 1, TaskState::exited, "done", false}});
+    for (const WorkerCommand& o : commands) {
+        EXPECT_NE(o.type, WorkerCommandType::clear);
+    }
+}
+
+}  // namespace
+}  // namespace walkford
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -1,10 +1,11 @@
+#include "bookkeeping/records.hpp"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <random>
 #include <set>
 
-#include "bookkeeping/records.hpp"
 #include "bookkeeping/registry_record.hpp"
 
 namespace walkford {
