--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -52,7 +52,7 @@
 void HttpClient::send(protocol::HttpCall call, ResponseHandler on_response) {
     for (std::size_t i = 0; i < connections_.size(); ++i) {
         if (!connections_[i].busy) {
-            start(i, std::move(call), std::move(on_response));
+            start(i, call, std::move(on_response));
             return;
         }
     }
@@ -72,7 +72,7 @@
     }
 }
 
-void HttpClient::start(std::size_t connection_index, protocol::HttpCall call,
+void HttpClient::start(std::size_t connection_index, const protocol::HttpCall& call,
                        ResponseHandler on_response) {
     PooledConnection& pooled = connections_[connection_index];
     if (!pooled.connection) {
@@ -160,7 +160,7 @@
     }
     QueuedRequest next = std::move(client->queue_.front());
     client->queue_.pop_front();
-    client->start(target->connection_index, std::move(next.call), std::move(next.on_response));
+    client->start(target->connection_index, next.call, std::move(next.on_response));
 }
 
 }  // namespace walkford::transport
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -55,7 +55,8 @@
     static void on_done(evhttp_request* request, void* open_request);
     static void on_deadline(evutil_socket_t, short, void* open_request);
     static void on_send_next(evutil_socket_t, short, void* free_connection);
-    void start(std::size_t connection_index, protocol::HttpCall call, ResponseHandler on_response);
+    void start(std::size_t connection_index, const protocol::HttpCall& call,
+               ResponseHandler on_response);
     void fill(evhttp_request* request, const protocol::HttpCall& call) const;
     void finish(OpenRequest* open, int code, std::string_view body);
     void schedule_next(std::size_t connection_index);
