--- a/src/bookkeeping/cluster_state.hpp
+++ b/src/bookkeeping/cluster_state.hpp
@@ -32,6 +32,7 @@
 
     // The machine types that the cloud offers; replaces the earlier ones.
     void set_machine_types(const std::vector<MachineType>& machine_types);
+    // The machine types that the cloud offers, in its order.
     const std::vector<MachineType>& machine_types() const { return machine_types_; }
     // Null where the cloud doesn't offer the type (any more).
     const MachineType* machine_type(Id id) const;
@@ -45,8 +46,8 @@
     std::deque<Machine> machines;
     Names& names;
     std::vector<JobClassProfile> job_class_profiles;
-    // Placement records (job and index) that may differ from the durable ones.
-    std::set<std::pair<Id, std::uint32_t>> dirty;
+    // Placement records that may differ from the durable ones.
+    std::set<PlacementRecordRef> dirty;
 
     // The index of a job; kNone where it is unknown.
     Id find_job(const std::string& id) const;
--- a/src/bookkeeping/job.hpp
+++ b/src/bookkeeping/job.hpp
@@ -22,6 +22,13 @@
     Ms retry_at = 0;            // no write before
 };
 
+// Names a placement record: the index of its job, and its own among those of the job.
+struct PlacementRecordRef {
+    Id job_id = kNone;
+    std::uint32_t index = 0;
+    auto operator<=>(const PlacementRecordRef&) const = default;
+};
+
 // A job that is pending or running, as the leader knows it.
 struct Job {
     JobSpec spec;
--- a/src/bookkeeping/machine_types_record.cpp
+++ b/src/bookkeeping/machine_types_record.cpp
@@ -6,25 +6,23 @@
 
 namespace {
 // A machine type is stored as a row; these are the places in it.
-enum Column : std::size_t {
-    kName = 0,
-    kCpus,
-    kGpus,
-    kMemory,
-    kCacheGb,
-    kFetchGbPerS,
-    kPrice,
-    kSpotPrice,
-    kBootS,
-    kZones,
-};
+constexpr std::size_t kName = 0;
+constexpr std::size_t kCpus = 1;
+constexpr std::size_t kGpus = 2;
+constexpr std::size_t kMemory = 3;
+constexpr std::size_t kCacheGb = 4;
+constexpr std::size_t kFetchGbPerS = 5;
+constexpr std::size_t kPrice = 6;
+constexpr std::size_t kSpotPrice = 7;
+constexpr std::size_t kBootS = 8;
+constexpr std::size_t kZones = 9;
 
 Json encode_machine_type(const MachineType& machine_type, const Names& names) {
     Json zones = Json::array();
     for (Id zone : machine_type.zones) {
         zones.push_back(names.zones.name(zone));
     }
-    // In the order of Column.
+    // In the order of the places above.
     return Json::array({names.machine_types.name(machine_type.id), machine_type.size.cpus,
                         machine_type.size.gpus, machine_type.size.ram, machine_type.cache_gb,
                         machine_type.fetch_gb_per_s, machine_type.price, machine_type.spot_price,
--- a/src/bookkeeping/stored_keys.cpp
+++ b/src/bookkeeping/stored_keys.cpp
@@ -37,8 +37,7 @@
     return parse_index(std::string_view(key).substr(kRegistryParts.size()));
 }
 
-std::optional<std::pair<std::string, std::uint32_t>> parse_placement_record(
-    const std::string& key) {
+std::optional<PlacementRecordKey> parse_placement_record(const std::string& key) {
     if (key.rfind(kTasks, 0) != 0) {
         return std::nullopt;
     }
@@ -50,7 +49,7 @@
     if (!index) {
         return std::nullopt;
     }
-    return std::pair{key.substr(kTasks.size(), slash - kTasks.size()), *index};
+    return PlacementRecordKey{key.substr(kTasks.size(), slash - kTasks.size()), *index};
 }
 }  // namespace keys
 
--- a/src/bookkeeping/stored_keys.hpp
+++ b/src/bookkeeping/stored_keys.hpp
@@ -42,8 +42,13 @@
 // The key of a placement record of a job.
 std::string placement_record(const std::string& job, std::uint32_t index);
 
-// Splits the key of a placement record into job id and index; nothing where it isn't one's.
-std::optional<std::pair<std::string, std::uint32_t>> parse_placement_record(const std::string& key);
+// What the key of a placement record names.
+struct PlacementRecordKey {
+    std::string job;  // its id
+    std::uint32_t index = 0;
+};
+// Splits the key of a placement record; nothing where it isn't one's.
+std::optional<PlacementRecordKey> parse_placement_record(const std::string& key);
 }  // namespace keys
 
 // Whether a text can be the id of a job. Ids come from users and become part of a key: only `j-`
--- a/src/bookkeeping/types.hpp
+++ b/src/bookkeeping/types.hpp
@@ -64,6 +64,7 @@
     }
     friend Resources operator+(Resources left, const Resources& right) { return left += right; }
     friend Resources operator-(Resources left, const Resources& right) { return left -= right; }
+    // Each resource times the factor.
     friend Resources operator*(Resources amount, double factor) {
         return {amount.cpus * factor, amount.gpus * factor, amount.ram * factor};
     }
@@ -73,6 +74,7 @@
         constexpr double kSlack = 1e-6;
         return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack && ram <= room.ram + kSlack;
     }
+    // The amount of one resource, in its own unit.
     double get(Resource resource) const {
         switch (resource) {
             case Resource::cpu:
--- a/src/coordination/cloud/cloud_manager.cpp
+++ b/src/coordination/cloud/cloud_manager.cpp
@@ -6,6 +6,15 @@
 
 namespace walkford {
 
+CloudManager::CloudManager(LeaderContext& context, TaskLifecycle& lifecycle)
+    : context_(context),
+      registry_(context),
+      releaser_(context, lifecycle, registry_, backoff_, unregistered_),
+      scale_out_(context, registry_, releaser_, backoff_, unregistered_),
+      machine_list_(context, registry_, releaser_),
+      health_watch_(context, registry_, releaser_, unregistered_),
+      machine_types_(context) {}
+
 void CloudManager::load(Ms now) {
     if (context_.controller.replica.registry_parts.empty()) {
         return;
--- a/src/coordination/cloud/cloud_manager.hpp
+++ b/src/coordination/cloud/cloud_manager.hpp
@@ -19,14 +19,7 @@
 class CloudManager {
   public:
     // Nothing is known of the cloud until load() and tick(). Both references must outlive it.
-    CloudManager(LeaderContext& context, TaskLifecycle& lifecycle)
-        : context_(context),
-          registry_(context),
-          releaser_(context, lifecycle, registry_, backoff_, unregistered_),
-          scale_out_(context, registry_, releaser_, backoff_, unregistered_),
-          machine_list_(context, registry_, releaser_),
-          health_watch_(context, registry_, releaser_, unregistered_),
-          machine_types_(context) {}
+    CloudManager(LeaderContext& context, TaskLifecycle& lifecycle);
     // Its parts refer to one another.
     CloudManager(const CloudManager&) = delete;
     CloudManager& operator=(const CloudManager&) = delete;
--- a/src/coordination/cloud/machine_health_watch.cpp
+++ b/src/coordination/cloud/machine_health_watch.cpp
@@ -21,6 +21,11 @@
 }
 }  // namespace
 
+MachineHealthWatch::MachineHealthWatch(LeaderContext& context, const MachineRegistry& registry,
+                                       MachineReleaser& releaser,
+                                       UnregisteredMachines& unregistered)
+    : context_(context), registry_(registry), releaser_(releaser), unregistered_(unregistered) {}
+
 const char* describe(MachineFault fault) {
     switch (fault) {
         case MachineFault::none:
--- a/src/coordination/cloud/machine_health_watch.hpp
+++ b/src/coordination/cloud/machine_health_watch.hpp
@@ -29,11 +29,7 @@
   public:
     // All references must outlive it.
     MachineHealthWatch(LeaderContext& context, const MachineRegistry& registry,
-                       MachineReleaser& releaser, UnregisteredMachines& unregistered)
-        : context_(context),
-          registry_(registry),
-          releaser_(releaser),
-          unregistered_(unregistered) {}
+                       MachineReleaser& releaser, UnregisteredMachines& unregistered);
 
     // `scale_out_pending`: some scale-out request has an unknown outcome, so that an unregistered
     // machine may be what it was granted.
--- a/src/coordination/cloud/machine_list_reconciler.cpp
+++ b/src/coordination/cloud/machine_list_reconciler.cpp
@@ -5,8 +5,6 @@
 #include <algorithm>
 #include <utility>
 
-#include "coordination/cloud/leader_callback.hpp"
-
 namespace walkford {
 
 namespace {
@@ -20,6 +18,10 @@
 constexpr Ms kNeverListedMargin = 10000;
 }  // namespace
 
+MachineListReconciler::MachineListReconciler(LeaderContext& context, MachineRegistry& registry,
+                                             MachineReleaser& releaser)
+    : context_(context), registry_(registry), releaser_(releaser) {}
+
 void MachineListReconciler::tick(Ms now) {
     if (reading_ || now < next_read_at_) {
         return;
@@ -35,7 +37,7 @@
     request.operation = CloudOperation::list;
     request.after = after;
     auto handler = [this](Ms now, const CloudResponse& response) { on_page(now, response); };
-    context_.controller.cloud.call(std::move(request), while_leading(context_, std::move(handler)));
+    context_.controller.cloud.call(std::move(request), context_.while_leading(std::move(handler)));
 }
 
 void MachineListReconciler::on_page(Ms now, const CloudResponse& response) {
--- a/src/coordination/cloud/machine_list_reconciler.hpp
+++ b/src/coordination/cloud/machine_list_reconciler.hpp
@@ -17,8 +17,7 @@
   public:
     // All references must outlive it.
     MachineListReconciler(LeaderContext& context, MachineRegistry& registry,
-                          MachineReleaser& releaser)
-        : context_(context), registry_(registry), releaser_(releaser) {}
+                          MachineReleaser& releaser);
 
     // Begins to read the list when that is due; one list at a time.
     void tick(Ms now);
--- a/src/coordination/cloud/machine_registry_write.cpp
+++ b/src/coordination/cloud/machine_registry_write.cpp
@@ -3,7 +3,6 @@
 
 #include <algorithm>
 
-#include "coordination/cloud/leader_callback.hpp"
 #include "coordination/cloud/machine_registry.hpp"
 
 namespace walkford {
@@ -93,7 +92,7 @@
         on_write_response(now, sent, response);
     };
     context_.controller.store.transaction(RequestPriority::placement, std::move(transaction),
-                                          while_leading(context_, std::move(handler)));
+                                          context_.while_leading(std::move(handler)));
 }
 
 void MachineRegistry::on_write_response(Ms now, const std::vector<std::uint32_t>& sent,
@@ -136,7 +135,7 @@
                        Ms, const StoreResponse& response) {
         on_version_response(key, remaining_keys, response);
     };
-    context_.controller.store.get(key, while_leading(context_, std::move(handler)),
+    context_.controller.store.get(key, context_.while_leading(std::move(handler)),
                                   context_.controller.out);
 }
 
--- a/src/coordination/cloud/machine_releaser.cpp
+++ b/src/coordination/cloud/machine_releaser.cpp
@@ -5,8 +5,6 @@
 #include <iterator>
 #include <utility>
 
-#include "coordination/cloud/leader_callback.hpp"
-
 namespace walkford {
 
 namespace {
@@ -17,6 +15,15 @@
 constexpr Ms kRememberedMargin = 60000;
 }  // namespace
 
+MachineReleaser::MachineReleaser(LeaderContext& context, TaskLifecycle& lifecycle,
+                                 MachineRegistry& registry, CapacityBackoff& backoff,
+                                 UnregisteredMachines& unregistered)
+    : context_(context),
+      lifecycle_(lifecycle),
+      registry_(registry),
+      backoff_(backoff),
+      unregistered_(unregistered) {}
+
 void MachineReleaser::release(Ms now, Id machine_id, const char* reason) {
     Machine& machine = context_.cluster.machines[machine_id];
     if (machine.releasing || machine.terminated) {
@@ -58,7 +65,7 @@
         on_release_response(at, machines, response);
     };
     context_.controller.cloud.call(std::move(request),
-                                   while_leading(context_, std::move(on_response)));
+                                   context_.while_leading(std::move(on_response)));
 }
 
 void MachineReleaser::on_release_response(Ms now, const std::vector<std::string>& machines,
--- a/src/coordination/cloud/machine_releaser.hpp
+++ b/src/coordination/cloud/machine_releaser.hpp
@@ -19,12 +19,7 @@
   public:
     // All references must outlive it.
     MachineReleaser(LeaderContext& context, TaskLifecycle& lifecycle, MachineRegistry& registry,
-                    CapacityBackoff& backoff, UnregisteredMachines& unregistered)
-        : context_(context),
-          lifecycle_(lifecycle),
-          registry_(registry),
-          backoff_(backoff),
-          unregistered_(unregistered) {}
+                    CapacityBackoff& backoff, UnregisteredMachines& unregistered);
 
     // Stops using the machine and starts its release; does nothing if that has begun. `reason` goes
     // to the log.
--- a/src/coordination/cloud/machine_type_reader.cpp
+++ b/src/coordination/cloud/machine_type_reader.cpp
@@ -2,8 +2,6 @@
 
 #include <utility>
 
-#include "coordination/cloud/leader_callback.hpp"
-
 namespace walkford {
 
 namespace {
@@ -19,7 +17,7 @@
     CloudRequest request;
     request.operation = CloudOperation::list_machine_types;
     auto handler = [this](Ms at, const CloudResponse& response) { on_response(at, response); };
-    context_.controller.cloud.call(std::move(request), while_leading(context_, std::move(handler)));
+    context_.controller.cloud.call(std::move(request), context_.while_leading(std::move(handler)));
 }
 
 void MachineTypeReader::on_response(Ms now, const CloudResponse& response) {
--- a/src/coordination/cloud/scale_out_requester.cpp
+++ b/src/coordination/cloud/scale_out_requester.cpp
@@ -6,8 +6,6 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/cloud/leader_callback.hpp"
-
 namespace walkford {
 
 namespace {
@@ -21,6 +19,15 @@
 }
 }  // namespace
 
+ScaleOutRequester::ScaleOutRequester(LeaderContext& context, MachineRegistry& registry,
+                                     const MachineReleaser& releaser, CapacityBackoff& backoff,
+                                     UnregisteredMachines& unregistered)
+    : context_(context),
+      registry_(registry),
+      releaser_(releaser),
+      backoff_(backoff),
+      unregistered_(unregistered) {}
+
 void ScaleOutRequester::resume(Ms now) {
     for (const ScaleOutRequest& request : registry_.scale_out_requests()) {
         retry_at_by_request_[request.name] = now;
@@ -93,7 +100,7 @@
     auto handler = [this, request_name](Ms now, const CloudResponse& response) {
         on_response(now, request_name, response);
     };
-    context_.controller.cloud.call(std::move(call), while_leading(context_, std::move(handler)));
+    context_.controller.cloud.call(std::move(call), context_.while_leading(std::move(handler)));
 }
 
 void ScaleOutRequester::on_response(Ms now, const std::string& request_name,
--- a/src/coordination/cloud/scale_out_requester.hpp
+++ b/src/coordination/cloud/scale_out_requester.hpp
@@ -20,12 +20,7 @@
     // All references must outlive it.
     ScaleOutRequester(LeaderContext& context, MachineRegistry& registry,
                       const MachineReleaser& releaser, CapacityBackoff& backoff,
-                      UnregisteredMachines& unregistered)
-        : context_(context),
-          registry_(registry),
-          releaser_(releaser),
-          backoff_(backoff),
-          unregistered_(unregistered) {}
+                      UnregisteredMachines& unregistered);
 
     // Repeats the requests that an earlier leader left without a known outcome.
     void resume(Ms now);
--- a/src/coordination/controller/reachability.cpp
+++ b/src/coordination/controller/reachability.cpp
@@ -17,6 +17,10 @@
 constexpr Ms kConfirmWorkersReachOthers = 3000;
 }  // namespace
 
+Reachability::Reachability(const ControllerContext& context, const Leadership& leadership,
+                           const PeerHeartbeats& peers, const ActivityTimes& times)
+    : context_(context), leadership_(leadership), peers_(peers), times_(times) {}
+
 bool Reachability::isolated(Ms now) const {
     if (peers_.no_peers()) {
         return false;
--- a/src/coordination/controller/reachability.hpp
+++ b/src/coordination/controller/reachability.hpp
@@ -15,8 +15,7 @@
 class Reachability {
   public:
     Reachability(const ControllerContext& context, const Leadership& leadership,
-                 const PeerHeartbeats& peers, const ActivityTimes& times)
-        : context_(context), leadership_(leadership), peers_(peers), times_(times) {}
+                 const PeerHeartbeats& peers, const ActivityTimes& times);
 
     // Neither the state service nor any other controller is reached: what is known of the others is
     // out of date. Never so without peers.
--- a/src/coordination/controller/user_requests.cpp
+++ b/src/coordination/controller/user_requests.cpp
@@ -32,6 +32,9 @@
 constexpr const char* kNoSuchJob = "no such job";
 }  // namespace
 
+UserRequests::UserRequests(ControllerContext& context, StoreWatcher& watcher)
+    : context_(context), watcher_(watcher) {}
+
 void UserRequests::tick(Ms now) {
     std::vector<RequestId> expired;
     for (const auto& [request, deadline] : deadlines_) {
--- a/src/coordination/controller/user_requests.hpp
+++ b/src/coordination/controller/user_requests.hpp
@@ -17,8 +17,7 @@
 class UserRequests {
   public:
     // References must outlive it.
-    UserRequests(ControllerContext& context, StoreWatcher& watcher)
-        : context_(context), watcher_(watcher) {}
+    UserRequests(ControllerContext& context, StoreWatcher& watcher);
 
     // Creates the job durably: 201. A job that is known already is answered with its state: 200, so
     // that a submission may be repeated. 422 for one that can never run.
--- a/src/coordination/leader/placement_writer.cpp
+++ b/src/coordination/leader/placement_writer.cpp
@@ -14,21 +14,21 @@
 
 void PlacementWriter::tick(Ms now, const WriteOrder& order) {
     ClusterState& cluster = context_.cluster;
-    std::vector<RecordRef> records = due_records(now, order);
+    std::vector<PlacementRecordRef> records = due_records(now, order);
     // A placement that was made and undone leaves nothing to write.
-    std::erase_if(records, [&](RecordRef record) {
+    std::erase_if(records, [&](PlacementRecordRef record) {
         if (!cluster.durable(record.job_id, record.index)) {
             return false;
         }
-        cluster.dirty.erase({record.job_id, record.index});
+        cluster.dirty.erase(record);
         return true;
     });
-    for (RecordRef record : records) {
+    for (PlacementRecordRef record : records) {
         write(record);
     }
 }
 
-bool PlacementWriter::due(Ms now, RecordRef ref) const {
+bool PlacementWriter::due(Ms now, PlacementRecordRef ref) const {
     const Job& job = context_.cluster.jobs[ref.job_id];
     if (!job.alive || job.ending) {
         return false;
@@ -42,38 +42,34 @@
 }
 
 template <typename Records>
-std::vector<PlacementWriter::RecordRef> PlacementWriter::due_among(const Records& records,
-                                                                   Ms now) const {
-    std::vector<RecordRef> found;
-    for (const auto& [job_id, index] : records) {
+std::vector<PlacementRecordRef> PlacementWriter::due_among(const Records& records, Ms now) const {
+    std::vector<PlacementRecordRef> found;
+    for (PlacementRecordRef record : records) {
         if (open_writes_ + found.size() >= kMaxOpenWrites) {
             break;
         }
-        if (due(now, {job_id, index})) {
-            found.push_back({job_id, index});
+        if (due(now, record)) {
+            found.push_back(record);
         }
     }
     return found;
 }
 
-std::vector<PlacementWriter::RecordRef> PlacementWriter::due_records(
-    Ms now, const WriteOrder& order) const {
+std::vector<PlacementRecordRef> PlacementWriter::due_records(Ms now,
+                                                             const WriteOrder& order) const {
     const auto& dirty = context_.cluster.dirty;
     if (!order) {
         return due_among(dirty, now);
     }
-    std::vector<RecordRef> ordered;
-    ordered.reserve(dirty.size());
-    for (const auto& [job_id, index] : dirty) {
-        ordered.push_back({job_id, index});
-    }
-    std::stable_sort(ordered.begin(), ordered.end(), [&order](RecordRef left, RecordRef right) {
-        return order(left.job_id) < order(right.job_id);
-    });
+    std::vector<PlacementRecordRef> ordered(dirty.begin(), dirty.end());
+    std::stable_sort(ordered.begin(), ordered.end(),
+                     [&order](PlacementRecordRef left, PlacementRecordRef right) {
+                         return order(left.job_id) < order(right.job_id);
+                     });
     return due_among(ordered, now);
 }
 
-bool PlacementWriter::starts_tasks(RecordRef record) const {
+bool PlacementWriter::starts_tasks(PlacementRecordRef record) const {
     const std::vector<Task>& tasks =
         context_.cluster.placement_record(record.job_id, record.index).tasks;
     return std::any_of(tasks.begin(), tasks.end(), [](const Task& task) {
@@ -81,7 +77,7 @@
     });
 }
 
-void PlacementWriter::write(RecordRef ref) {
+void PlacementWriter::write(PlacementRecordRef ref) {
     ClusterState& cluster = context_.cluster;
     const Job& job = cluster.jobs[ref.job_id];
     PlacementRecord& record = cluster.placement_record(ref.job_id, ref.index);
@@ -98,7 +94,7 @@
     record.in_flight = true;
     cluster.mark_write_started(ref.job_id, ref.index, open_write.tasks);
     ++open_writes_;
-    cluster.dirty.erase({ref.job_id, ref.index});
+    cluster.dirty.erase(ref);
     context_.controller.store.transaction(
         priority, std::move(transaction),
         context_.while_leading(
@@ -107,7 +103,7 @@
             }));
 }
 
-bool PlacementWriter::job_exists(RecordRef record, const std::string& job_name) const {
+bool PlacementWriter::job_exists(PlacementRecordRef record, const std::string& job_name) const {
     return context_.cluster.find_job(job_name) == record.job_id;
 }
 
@@ -123,11 +119,11 @@
     if (response.status == StoreStatus::ok) {
         cluster.commit(job_id, index, write.tasks, response.revision);
         if (cluster.snapshot(job_id, index) != write.tasks) {
-            cluster.dirty.insert({job_id, index});
+            cluster.dirty.insert(write.record);
         }
         return;
     }
-    cluster.dirty.insert({job_id, index});
+    cluster.dirty.insert(write.record);
     record.retry_at = now + kWriteRetryDelay;
     if (response.status == StoreStatus::too_large) {
         spdlog::error("the state service refuses the record {} as too large", write.key);
@@ -156,7 +152,7 @@
 
 // An earlier copy of one of our writes took effect: what the store holds counts.
 void PlacementWriter::read_record(const OpenWrite& write) {
-    RecordRef ref = write.record;
+    PlacementRecordRef ref = write.record;
     context_.cluster.placement_record(ref.job_id, ref.index).in_flight = true;
     context_.controller.store.get(write.key,
                                   context_.while_leading([this, ref, job_name = write.job_name](
@@ -166,7 +162,7 @@
                                   context_.controller.out);
 }
 
-void PlacementWriter::on_record_read(RecordRef ref, const std::string& job_name,
+void PlacementWriter::on_record_read(PlacementRecordRef ref, const std::string& job_name,
                                      const StoreResponse& response) {
     if (!job_exists(ref, job_name)) {
         return;
--- a/src/coordination/leader/placement_writer.hpp
+++ b/src/coordination/leader/placement_writer.hpp
@@ -26,31 +26,27 @@
     void tick(Ms now, const WriteOrder& order);
 
   private:
-    struct RecordRef {
-        Id job_id = kNone;
-        std::uint32_t index = 0;  // of the record among those of the job
-    };
     // A write that was sent, kept until its response.
     struct OpenWrite {
-        RecordRef record;
+        PlacementRecordRef record;
         std::string job_name;
         std::string key;
         std::vector<TaskRecord> tasks;
     };
 
-    bool due(Ms now, RecordRef record) const;
+    bool due(Ms now, PlacementRecordRef record) const;
     template <typename Records>
-    std::vector<RecordRef> due_among(const Records& records, Ms now) const;
-    std::vector<RecordRef> due_records(Ms now, const WriteOrder& order) const;
-    void write(RecordRef record);
-    bool starts_tasks(RecordRef record) const;
+    std::vector<PlacementRecordRef> due_among(const Records& records, Ms now) const;
+    std::vector<PlacementRecordRef> due_records(Ms now, const WriteOrder& order) const;
+    void write(PlacementRecordRef record);
+    bool starts_tasks(PlacementRecordRef record) const;
     void on_written(Ms now, const OpenWrite& write, const StoreResponse& response);
     void on_conflict(Ms now, const OpenWrite& write, const StoreResponse& response);
     void read_record(const OpenWrite& write);
-    void on_record_read(RecordRef record, const std::string& job_name,
+    void on_record_read(PlacementRecordRef record, const std::string& job_name,
                         const StoreResponse& response);
     // The job that the write was for has not ended meanwhile (slots of the table are used again).
-    bool job_exists(RecordRef record, const std::string& job_name) const;
+    bool job_exists(PlacementRecordRef record, const std::string& job_name) const;
 
     LeaderContext& context_;
     std::size_t open_writes_ = 0;
--- a/src/coordination/leadership/leadership.cpp
+++ b/src/coordination/leadership/leadership.cpp
@@ -15,6 +15,9 @@
 constexpr Ms kRenewalsPerTtl = 4;
 }  // namespace
 
+Leadership::Leadership(ControllerContext& context, StoreWatcher& watcher)
+    : context_(context), watcher_(watcher) {}
+
 void Leadership::tick(Ms now) {
     if (leading()) {
         if (!renewing_ && now >= renew_at_) {
--- a/src/coordination/leadership/leadership.hpp
+++ b/src/coordination/leadership/leadership.hpp
@@ -12,8 +12,7 @@
 class Leadership {
   public:
     // References must outlive it.
-    Leadership(ControllerContext& context, StoreWatcher& watcher)
-        : context_(context), watcher_(watcher) {}
+    Leadership(ControllerContext& context, StoreWatcher& watcher);
 
     // Renews the lease, or campaigns, when that is due.
     void tick(Ms now);
--- a/src/coordination/leadership/lease_relay.cpp
+++ b/src/coordination/leadership/lease_relay.cpp
@@ -20,6 +20,9 @@
 constexpr Ms kIdleTimeout = 10000;
 }  // namespace
 
+LeaseRelay::LeaseRelay(ControllerContext& context, StoreWatcher& watcher)
+    : context_(context), watcher_(watcher) {}
+
 bool LeaseRelay::wanted(Ms now, bool leader_silent) const {
     return leader_silent && context_.may_write(kFeatureServices) &&
            !context_.platform_settings.zone.empty() && context_.replica.leader_version != 0 &&
--- a/src/coordination/leadership/lease_relay.hpp
+++ b/src/coordination/leadership/lease_relay.hpp
@@ -19,8 +19,7 @@
 class LeaseRelay {
   public:
     // References must outlive it.
-    LeaseRelay(ControllerContext& context, StoreWatcher& watcher)
-        : context_(context), watcher_(watcher) {}
+    LeaseRelay(ControllerContext& context, StoreWatcher& watcher);
 
     // Starts, keeps up or ends the relay. `leader_silent`: somebody else leads, and none of its
     // heartbeats has been received for a while.
--- a/src/coordination/placement/gang_placement.cpp
+++ b/src/coordination/placement/gang_placement.cpp
@@ -9,6 +9,15 @@
 
 namespace walkford {
 
+GangPlacement::GangPlacement(LeaderContext& context, TaskLifecycle& lifecycle,
+                             const ZoneFailoverManager& zone_failover, GangReservation& reservation,
+                             PlacementRound& round)
+    : context_(context),
+      lifecycle_(lifecycle),
+      zone_failover_(zone_failover),
+      reservation_(reservation),
+      round_(round) {}
+
 // A new attempt begins only after every task of the old one is gone.
 bool GangPlacement::may_start_attempt(const Job& job) const {
     const JobSpec& spec = job.spec;
--- a/src/coordination/placement/gang_placement.hpp
+++ b/src/coordination/placement/gang_placement.hpp
@@ -15,12 +15,7 @@
     // The references must outlive this.
     GangPlacement(LeaderContext& context, TaskLifecycle& lifecycle,
                   const ZoneFailoverManager& zone_failover, GangReservation& reservation,
-                  PlacementRound& round)
-        : context_(context),
-          lifecycle_(lifecycle),
-          zone_failover_(zone_failover),
-          reservation_(reservation),
-          round_(round) {}
+                  PlacementRound& round);
 
     // Places a new attempt of the whole gang; false, with no member assigned, where it can't be
     // now.
--- a/src/coordination/placement/gang_reservation.cpp
+++ b/src/coordination/placement/gang_reservation.cpp
@@ -23,6 +23,9 @@
 constexpr Ms kMinRemaining = 2000;       // of a task whose estimate is about to be over
 }  // namespace
 
+GangReservation::GangReservation(LeaderContext& context, TaskLifecycle& lifecycle)
+    : context_(context), lifecycle_(lifecycle) {}
+
 Ms GangReservation::expected_end(TaskRef ref, Ms now) const {
     const ClusterState& cluster = context_.cluster;
     const JobSpec& spec = cluster.jobs[ref.job].spec;
--- a/src/coordination/placement/gang_reservation.hpp
+++ b/src/coordination/placement/gang_reservation.hpp
@@ -18,8 +18,7 @@
 class GangReservation {
   public:
     // The references must outlive this.
-    GangReservation(LeaderContext& context, TaskLifecycle& lifecycle)
-        : context_(context), lifecycle_(lifecycle) {}
+    GangReservation(LeaderContext& context, TaskLifecycle& lifecycle);
 
     // Says whether a task of `victim` may be preempted for `job`.
     using MayPreempt = std::function<bool(const Job& victim, const Job& job)>;
--- a/src/coordination/placement/machine_scorer.cpp
+++ b/src/coordination/placement/machine_scorer.cpp
@@ -11,6 +11,10 @@
 constexpr double kStartDelayStepS = 2;  // delays that differ by less count as equal
 }  // namespace
 
+MachineScorer::MachineScorer(LeaderContext& context, const ZoneFailoverManager& zone_failover,
+                             const ClassCapacity& class_capacity)
+    : context_(context), zone_failover_(zone_failover), class_capacity_(class_capacity) {}
+
 int MachineScorer::aged_priority(Id job) const {
     return walkford::aged_priority(context_.cluster.jobs[job], zone_failover_.waits_since(job),
                                    now_, context_.controller.operator_settings.priority_aging_s);
--- a/src/coordination/placement/machine_scorer.hpp
+++ b/src/coordination/placement/machine_scorer.hpp
@@ -27,8 +27,7 @@
   public:
     // The references must outlive the scorer.
     MachineScorer(LeaderContext& context, const ZoneFailoverManager& zone_failover,
-                  const ClassCapacity& class_capacity)
-        : context_(context), zone_failover_(zone_failover), class_capacity_(class_capacity) {}
+                  const ClassCapacity& class_capacity);
 
     // A round of placement begins.
     void begin_round(Ms now) { now_ = now; }
--- a/src/coordination/placement/placement_round.cpp
+++ b/src/coordination/placement/placement_round.cpp
@@ -2,6 +2,12 @@
 
 namespace walkford {
 
+PlacementRound::PlacementRound(LeaderContext& context, ZoneFailoverManager& zone_failover)
+    : context_(context),
+      zone_failover_(zone_failover),
+      class_capacity_(context),
+      scorer_(context, zone_failover, class_capacity_) {}
+
 void PlacementRound::begin(Ms now, const std::vector<Id>& schedulable) {
     scorer_.begin_round(now);
     free_capacity_.build(context_.cluster, schedulable);
--- a/src/coordination/placement/placement_round.hpp
+++ b/src/coordination/placement/placement_round.hpp
@@ -14,11 +14,7 @@
 class PlacementRound {
   public:
     // The references must outlive the round.
-    PlacementRound(LeaderContext& context, ZoneFailoverManager& zone_failover)
-        : context_(context),
-          zone_failover_(zone_failover),
-          class_capacity_(context),
-          scorer_(context, zone_failover, class_capacity_) {}
+    PlacementRound(LeaderContext& context, ZoneFailoverManager& zone_failover);
     // The scorer refers to members of this object.
     PlacementRound(const PlacementRound&) = delete;
     PlacementRound& operator=(const PlacementRound&) = delete;
--- a/src/coordination/placement/placer.cpp
+++ b/src/coordination/placement/placer.cpp
@@ -29,6 +29,14 @@
 }
 }  // namespace
 
+Placer::Placer(LeaderContext& context, TaskLifecycle& lifecycle, ZoneFailoverManager& zone_failover)
+    : context_(context),
+      zone_failover_(zone_failover),
+      round_(context, zone_failover),
+      reservation_(context, lifecycle),
+      gang_placement_(context, lifecycle, zone_failover, reservation_, round_),
+      preemption_(context, lifecycle, round_.class_capacity()) {}
+
 bool Placer::round_due(Ms now) {
     if (!context_.place_now && now < next_round_at_) {
         return false;
--- a/src/coordination/placement/placer.hpp
+++ b/src/coordination/placement/placer.hpp
@@ -18,13 +18,7 @@
 class Placer {
   public:
     // The references must outlive the placer.
-    Placer(LeaderContext& context, TaskLifecycle& lifecycle, ZoneFailoverManager& zone_failover)
-        : context_(context),
-          zone_failover_(zone_failover),
-          round_(context, zone_failover),
-          reservation_(context, lifecycle),
-          gang_placement_(context, lifecycle, zone_failover, reservation_, round_),
-          preemption_(context, lifecycle, round_.class_capacity()) {}
+    Placer(LeaderContext& context, TaskLifecycle& lifecycle, ZoneFailoverManager& zone_failover);
 
     // Called by the leader at every step: one round, if it is due, within the time budget; the next
     // goes on where this one stopped.
--- a/src/coordination/placement/preemption.cpp
+++ b/src/coordination/placement/preemption.cpp
@@ -19,6 +19,10 @@
 constexpr double kFixedCost = 1;        // of any preemption, in seconds of work
 }  // namespace
 
+Preemption::Preemption(LeaderContext& context, TaskLifecycle& lifecycle,
+                       const ClassCapacity& class_capacity)
+    : context_(context), lifecycle_(lifecycle), class_capacity_(class_capacity) {}
+
 void preempt_task(const ClusterState& cluster, TaskLifecycle& lifecycle, TaskRef task, Ms now) {
     double grace_s = cluster.jobs[task.job].spec.checkpoint_duration_s + kStopGraceSlackS;
     lifecycle.stop(task, grace_s, now, true);
--- a/src/coordination/placement/preemption.hpp
+++ b/src/coordination/placement/preemption.hpp
@@ -20,8 +20,7 @@
   public:
     // The references must outlive this.
     Preemption(LeaderContext& context, TaskLifecycle& lifecycle,
-               const ClassCapacity& class_capacity)
-        : context_(context), lifecycle_(lifecycle), class_capacity_(class_capacity) {}
+               const ClassCapacity& class_capacity);
 
     // Called after each round of placement, with the waiting jobs in their order and the machines
     // that may be preempted on; does nothing until the next tick is due.
--- a/src/coordination/scaling/scale_out_candidates.cpp
+++ b/src/coordination/scaling/scale_out_candidates.cpp
@@ -9,6 +9,10 @@
 constexpr double kEqualCost = 1e-9;
 }  // namespace
 
+ScaleOutCandidates::ScaleOutCandidates(Ms now, const LeaderContext& context,
+                                       const FleetMeasurement& fleet, const CloudManager& cloud)
+    : now_(now), context_(context), fleet_(fleet), cloud_(cloud) {}
+
 std::vector<ScaleOutCandidate> ScaleOutCandidates::for_resource(
     Resource resource, const std::vector<PendingDemand>& unplaced) const {
     const ClusterState& cluster = context_.cluster;
--- a/src/coordination/scaling/scale_out_candidates.hpp
+++ b/src/coordination/scaling/scale_out_candidates.hpp
@@ -24,8 +24,7 @@
   public:
     // The references must outlive this.
     ScaleOutCandidates(Ms now, const LeaderContext& context, const FleetMeasurement& fleet,
-                       const CloudManager& cloud)
-        : now_(now), context_(context), fleet_(fleet), cloud_(cloud) {}
+                       const CloudManager& cloud);
 
     // Candidates that offer the resource and can hold a task of some unplaced demand.
     std::vector<ScaleOutCandidate> for_resource(Resource resource,
--- a/src/coordination/scaling/scaler.cpp
+++ b/src/coordination/scaling/scaler.cpp
@@ -17,6 +17,12 @@
 constexpr double kNegligible = 1e-6;
 }  // namespace
 
+Scaler::Scaler(LeaderContext& context, const ZoneFailoverManager& zone_failover)
+    : context_(context),
+      zone_failover_(zone_failover),
+      meter_(context, zone_failover),
+      trial_packing_(context.cluster) {}
+
 void Scaler::tick(Ms now, const WorkerManager& workers, CloudManager& cloud) {
     if (now < next_tick_at_ && !context_.scale_out_now) {
         return;
--- a/src/coordination/scaling/scaler.hpp
+++ b/src/coordination/scaling/scaler.hpp
@@ -23,11 +23,7 @@
     using Utilization = walkford::Utilization;
 
     // The references must outlive the scaler.
-    Scaler(LeaderContext& context, const ZoneFailoverManager& zone_failover)
-        : context_(context),
-          zone_failover_(zone_failover),
-          meter_(context, zone_failover),
-          trial_packing_(context.cluster) {}
+    Scaler(LeaderContext& context, const ZoneFailoverManager& zone_failover);
 
     // Called by the leader at every step; does nothing until the next tick is due.
     void tick(Ms now, const WorkerManager& workers, CloudManager& cloud);
--- a/src/coordination/scaling/trial_packing.hpp
+++ b/src/coordination/scaling/trial_packing.hpp
@@ -43,6 +43,7 @@
         pack,       // its tasks take the slots that there are
     };
 
+    // The cluster state must outlive this object.
     explicit TrialPacking(const ClusterState& cluster) : cluster_(cluster) {}
 
     // Starts a new packing on a copy of the bins, for these demands.
--- a/src/coordination/scaling/utilization.cpp
+++ b/src/coordination/scaling/utilization.cpp
@@ -35,6 +35,9 @@
 }
 }  // namespace
 
+UtilizationMeter::UtilizationMeter(LeaderContext& context, const ZoneFailoverManager& zone_failover)
+    : context_(context), zone_failover_(zone_failover) {}
+
 FleetMeasurement& UtilizationMeter::measure(Ms now, const WorkerManager& workers,
                                             const CloudManager& cloud) {
     fleet_.bins.clear();
--- a/src/coordination/scaling/utilization.hpp
+++ b/src/coordination/scaling/utilization.hpp
@@ -46,8 +46,8 @@
 // Takes the measurement, once for each tick of the scaler.
 class UtilizationMeter {
   public:
-    UtilizationMeter(LeaderContext& context, const ZoneFailoverManager& zone_failover)
-        : context_(context), zone_failover_(zone_failover) {}
+    // Both must outlive this object.
+    UtilizationMeter(LeaderContext& context, const ZoneFailoverManager& zone_failover);
 
     // Measures the fleet; valid until the next call.
     FleetMeasurement& measure(Ms now, const WorkerManager& workers, const CloudManager& cloud);
--- a/src/coordination/store/store_replica.cpp
+++ b/src/coordination/store/store_replica.cpp
@@ -103,7 +103,7 @@
         return apply_value(registry_parts, *part, row);
     }
     if (auto parsed = keys::parse_placement_record(key)) {
-        return apply_placement_record(row, parsed->first, parsed->second);
+        return apply_placement_record(row, parsed->job, parsed->index);
     }
     return false;
 }
@@ -279,11 +279,11 @@
     } else if (auto part = keys::parse_registry_part(key)) {
         registry_parts.erase(*part);
     } else if (auto parsed = keys::parse_placement_record(key)) {
-        auto records = placement_records_.find(parsed->first);
+        auto records = placement_records_.find(parsed->job);
         if (records == placement_records_.end()) {
             return;
         }
-        records->second.erase(parsed->second);
+        records->second.erase(parsed->index);
         if (records->second.empty()) {
             placement_records_.erase(records);
         }
--- a/src/coordination/store/store_watcher.cpp
+++ b/src/coordination/store/store_watcher.cpp
@@ -25,6 +25,9 @@
 constexpr Ms kWatchRetry = 250;
 }  // namespace
 
+StoreWatcher::StoreWatcher(StoreClient& client, StoreReplica& replica, Outputs& out, Jitter jitter)
+    : client_(client), replica_(replica), out_(out), jitter_(std::move(jitter)) {}
+
 void StoreWatcher::tick(Ms now) {
     if (!ready_ && !loading_snapshot_ && now >= snapshot_at_) {
         start_snapshot();
--- a/src/coordination/store/store_watcher.hpp
+++ b/src/coordination/store/store_watcher.hpp
@@ -22,8 +22,7 @@
     // Draws a random delay between 0 and `most`, so that controllers don't retry in step.
     using Jitter = std::function<Ms(Ms most)>;
     // Requests are appended to `out`; all references must outlive the watcher.
-    StoreWatcher(StoreClient& client, StoreReplica& replica, Outputs& out, Jitter jitter)
-        : client_(client), replica_(replica), out_(out), jitter_(std::move(jitter)) {}
+    StoreWatcher(StoreClient& client, StoreReplica& replica, Outputs& out, Jitter jitter);
 
     // Sends what is due: the snapshot, the next watch, a barrier.
     void tick(Ms now);
--- a/src/coordination/workers/direct_calls.cpp
+++ b/src/coordination/workers/direct_calls.cpp
@@ -11,6 +11,9 @@
 constexpr Ms kMinCallInterval = 100;
 }  // namespace
 
+DirectCalls::DirectCalls(LeaderContext& context, WorkerStatusHandler& status_handler)
+    : context_(context), status_handler_(status_handler) {}
+
 // (A status under an older token may be a late copy: it does not show that the worker has been
 // reached.)
 void DirectCalls::probe_unseen_worker(Ms now, Id machine_id) {
--- a/src/coordination/workers/direct_calls.hpp
+++ b/src/coordination/workers/direct_calls.hpp
@@ -13,8 +13,7 @@
 class DirectCalls {
   public:
     // All must outlive this object.
-    DirectCalls(LeaderContext& context, WorkerStatusHandler& status_handler)
-        : context_(context), status_handler_(status_handler) {}
+    DirectCalls(LeaderContext& context, WorkerStatusHandler& status_handler);
 
     // Calls without commands a worker that may still obey an older leader.
     void probe_unseen_worker(Ms now, Id machine_id);
--- a/src/coordination/workers/failure_attribution.cpp
+++ b/src/coordination/workers/failure_attribution.cpp
@@ -25,6 +25,9 @@
 constexpr double kCheckpointMarginSeconds = 1;
 }  // namespace
 
+FailureAttribution::FailureAttribution(LeaderContext& context, TaskLifecycle& lifecycle)
+    : context_(context), lifecycle_(lifecycle) {}
+
 void FailureAttribution::task_failed(Ms now, TaskRef ref, Id machine_id) {
     Job& job = context_.cluster.jobs[ref.job];
     Machine& machine = context_.cluster.machines[machine_id];
--- a/src/coordination/workers/failure_attribution.hpp
+++ b/src/coordination/workers/failure_attribution.hpp
@@ -13,8 +13,7 @@
 class FailureAttribution {
   public:
     // Both must outlive this object.
-    FailureAttribution(LeaderContext& context, TaskLifecycle& lifecycle)
-        : context_(context), lifecycle_(lifecycle) {}
+    FailureAttribution(LeaderContext& context, TaskLifecycle& lifecycle);
 
     // A task exited with an error on the machine: delays the job or the machine, and may
     // quarantine the machine, whose other tasks are then stopped.
--- a/src/coordination/workers/heartbeat_responder.cpp
+++ b/src/coordination/workers/heartbeat_responder.cpp
@@ -17,6 +17,9 @@
 bool newly_placed(const Task& task) { return task.phase == TaskPhase::assigned && !task.inherited; }
 }  // namespace
 
+HeartbeatResponder::HeartbeatResponder(LeaderContext& context)
+    : context_(context), command_builder_(context) {}
+
 HeartbeatResponder::~HeartbeatResponder() {
     for (const auto& [machine_id, deferred] : deferred_) {
         refuse(deferred.request);
--- a/src/coordination/workers/heartbeat_responder.hpp
+++ b/src/coordination/workers/heartbeat_responder.hpp
@@ -13,8 +13,7 @@
 class HeartbeatResponder {
   public:
     // The context must outlive this object.
-    explicit HeartbeatResponder(LeaderContext& context)
-        : context_(context), command_builder_(context) {}
+    explicit HeartbeatResponder(LeaderContext& context);
     // Answers the deferred heartbeats with 503: the workers turn to the next leader.
     ~HeartbeatResponder();
     HeartbeatResponder(const HeartbeatResponder&) = delete;
--- a/src/coordination/workers/service_restarts.cpp
+++ b/src/coordination/workers/service_restarts.cpp
@@ -12,6 +12,9 @@
 constexpr std::uint32_t kMaxDoublings = 5;
 }  // namespace
 
+ServiceRestarts::ServiceRestarts(LeaderContext& context, TaskLifecycle& lifecycle)
+    : context_(context), lifecycle_(lifecycle) {}
+
 bool ServiceRestarts::ran_well(const Task& task, Ms now) {
     return task.running_since >= 0 && now - task.running_since >= kRanWellAfter;
 }
--- a/src/coordination/workers/service_restarts.hpp
+++ b/src/coordination/workers/service_restarts.hpp
@@ -10,8 +10,7 @@
 class ServiceRestarts {
   public:
     // Both must outlive this object.
-    ServiceRestarts(LeaderContext& context, TaskLifecycle& lifecycle)
-        : context_(context), lifecycle_(lifecycle) {}
+    ServiceRestarts(LeaderContext& context, TaskLifecycle& lifecycle);
 
     // A replica is reported as exited without an error: queues it again.
     void replica_exited(Ms now, TaskRef ref, const ReportedTask& reported);
--- a/src/coordination/workers/task_exits.cpp
+++ b/src/coordination/workers/task_exits.cpp
@@ -14,6 +14,12 @@
 constexpr Ms kUnknownJobDelay = 3000;
 }  // namespace
 
+TaskExits::TaskExits(LeaderContext& context, TaskLifecycle& lifecycle)
+    : context_(context),
+      lifecycle_(lifecycle),
+      service_restarts_(context, lifecycle),
+      failure_attribution_(context, lifecycle) {}
+
 void TaskExits::task_exited(Ms now, TaskRef ref, const ReportedTask& reported) {
     ClusterState& cluster = context_.cluster;
     const Job& job = cluster.jobs[ref.job];
--- a/src/coordination/workers/task_exits.hpp
+++ b/src/coordination/workers/task_exits.hpp
@@ -11,11 +11,7 @@
 class TaskExits {
   public:
     // Both must outlive this object.
-    TaskExits(LeaderContext& context, TaskLifecycle& lifecycle)
-        : context_(context),
-          lifecycle_(lifecycle),
-          service_restarts_(context, lifecycle),
-          failure_attribution_(context, lifecycle) {}
+    TaskExits(LeaderContext& context, TaskLifecycle& lifecycle);
 
     // The current attempt of the task has exited on its machine.
     void task_exited(Ms now, TaskRef ref, const ReportedTask& reported);
--- a/src/coordination/workers/worker_status_handler.cpp
+++ b/src/coordination/workers/worker_status_handler.cpp
@@ -10,6 +10,9 @@
 
 namespace walkford {
 
+WorkerStatusHandler::WorkerStatusHandler(LeaderContext& context, TaskLifecycle& lifecycle)
+    : context_(context), lifecycle_(lifecycle), task_exits_(context, lifecycle) {}
+
 StatusResult WorkerStatusHandler::apply(Ms now, Id machine_id, const WorkerStatus& status,
                                         StatusSource source) {
     Machine& machine = context_.cluster.machines[machine_id];
--- a/src/coordination/workers/worker_status_handler.hpp
+++ b/src/coordination/workers/worker_status_handler.hpp
@@ -25,8 +25,7 @@
 class WorkerStatusHandler {
   public:
     // Both must outlive this object.
-    WorkerStatusHandler(LeaderContext& context, TaskLifecycle& lifecycle)
-        : context_(context), lifecycle_(lifecycle), task_exits_(context, lifecycle) {}
+    WorkerStatusHandler(LeaderContext& context, TaskLifecycle& lifecycle);
 
     // Applies a status of the worker on that machine, unless it is stale.
     StatusResult apply(Ms now, Id machine_id, const WorkerStatus& status, StatusSource source);
--- a/src/coordination/zone_failover/displaced_work_marker.cpp
+++ b/src/coordination/zone_failover/displaced_work_marker.cpp
@@ -18,6 +18,9 @@
 bool displaceable(const Job& job, Id zone) { return active(job) && job.spec.zone != zone; }
 }  // namespace
 
+DisplacedWorkMarker::DisplacedWorkMarker(LeaderContext& context, DisplacedWork& displaced)
+    : context_(context), displaced_(displaced) {}
+
 void DisplacedWorkMarker::mark_on_silent_machines(Ms now, Id zone, const WorkerManager& workers) {
     for (const Machine& machine : context_.cluster.machines) {
         if (!machine.terminated && machine.zone == zone &&
--- a/src/coordination/zone_failover/displaced_work_marker.hpp
+++ b/src/coordination/zone_failover/displaced_work_marker.hpp
@@ -14,8 +14,7 @@
 class DisplacedWorkMarker {
   public:
     // All references must outlive it.
-    DisplacedWorkMarker(LeaderContext& context, DisplacedWork& displaced)
-        : context_(context), displaced_(displaced) {}
+    DisplacedWorkMarker(LeaderContext& context, DisplacedWork& displaced);
 
     // Marks what runs on machines of the zone that report no more.
     void mark_on_silent_machines(Ms now, Id zone, const WorkerManager& workers);
--- a/src/coordination/zone_failover/recovery_ramp.cpp
+++ b/src/coordination/zone_failover/recovery_ramp.cpp
@@ -5,6 +5,9 @@
 
 namespace walkford {
 
+RecoveryRamp::RecoveryRamp(const ZoneFailoverSettings& settings, std::uint32_t failed_ramps)
+    : settings_(&settings), failed_ramps_(failed_ramps) {}
+
 namespace {
 constexpr std::uint32_t kMaxHalvings = 4;
 }
--- a/src/coordination/zone_failover/recovery_ramp.hpp
+++ b/src/coordination/zone_failover/recovery_ramp.hpp
@@ -11,8 +11,7 @@
 class RecoveryRamp {
   public:
     // `failed_ramps`: how many ramps a flap cut short since the last complete one.
-    RecoveryRamp(const ZoneFailoverSettings& settings, std::uint32_t failed_ramps)
-        : settings_(&settings), failed_ramps_(failed_ramps) {}
+    RecoveryRamp(const ZoneFailoverSettings& settings, std::uint32_t failed_ramps);
 
     // The share of the zone's capacity that the ramp begins with.
     double first_share() const;
--- a/src/coordination/zone_failover/zone_admission.cpp
+++ b/src/coordination/zone_failover/zone_admission.cpp
@@ -6,6 +6,14 @@
 
 namespace walkford {
 
+ZoneAdmission::ZoneAdmission(LeaderContext& context, const ZoneTable& zones,
+                             const DisplacedWork& displaced)
+    : context_(context),
+      settings_(context.controller.operator_settings.zone_failover),
+      zones_(zones),
+      displaced_(displaced),
+      budgets_(zones.size()) {}
+
 void ZoneAdmission::begin_round(Ms now, const FreeCapacity& free_capacity, bool evacuating) {
     for (Id zone = 0; zone < zones_.size(); ++zone) {
         compute_budget(now, zone, free_capacity);
--- a/src/coordination/zone_failover/zone_admission.hpp
+++ b/src/coordination/zone_failover/zone_admission.hpp
@@ -19,12 +19,7 @@
 class ZoneAdmission {
   public:
     // Without budgets until the first round. All references must outlive it.
-    ZoneAdmission(LeaderContext& context, const ZoneTable& zones, const DisplacedWork& displaced)
-        : context_(context),
-          settings_(context.controller.operator_settings.zone_failover),
-          zones_(zones),
-          displaced_(displaced),
-          budgets_(zones.size()) {}
+    ZoneAdmission(LeaderContext& context, const ZoneTable& zones, const DisplacedWork& displaced);
 
     // Forgets the last round's reserve.
     void clear_reserve() { reserve_.clear(); }
--- a/src/coordination/zone_failover/zone_health.cpp
+++ b/src/coordination/zone_failover/zone_health.cpp
@@ -2,6 +2,9 @@
 
 namespace walkford {
 
+ZoneHealth::ZoneHealth(const ZoneFailoverSettings& settings)
+    : settings_(&settings), penalty_(settings) {}
+
 std::string describe(const ZoneEvidence& evidence) {
     std::string text = std::to_string(evidence.silent_machines) + " of " +
                        std::to_string(evidence.machines) + " machines silent, " +
--- a/src/coordination/zone_failover/zone_health.hpp
+++ b/src/coordination/zone_failover/zone_health.hpp
@@ -14,8 +14,7 @@
 class ZoneHealth {
   public:
     // A zone that is up. The settings must outlive it.
-    explicit ZoneHealth(const ZoneFailoverSettings& settings)
-        : settings_(&settings), penalty_(settings) {}
+    explicit ZoneHealth(const ZoneFailoverSettings& settings);
 
     // Continues where an earlier leader stopped.
     void restore(Ms now, const ZoneRecord& record);
--- a/src/coordination/zone_failover/zone_record_store.cpp
+++ b/src/coordination/zone_failover/zone_record_store.cpp
@@ -5,7 +5,6 @@
 #include <algorithm>
 #include <utility>
 
-#include "coordination/cloud/leader_callback.hpp"
 #include "coordination/zone_failover/log_format.hpp"
 
 namespace walkford {
@@ -100,7 +99,7 @@
         on_write_response(at, zone_id, record, response);
     };
     context_.controller.store.transaction(RequestPriority::leadership, std::move(transaction),
-                                          while_leading(context_, std::move(handler)));
+                                          context_.while_leading(std::move(handler)));
 }
 
 void ZoneRecordStore::on_write_response(Ms now, Id zone, const ZoneRecord& record,
--- a/src/protocol/json_fields.hpp
+++ b/src/protocol/json_fields.hpp
@@ -27,6 +27,7 @@
     // A message that is something other than a map.
     static DecodeError not_a_map();
 
+    // What is wrong with the field.
     DecodeProblem problem() const { return problem_; }
     // Empty where the message itself is not a map.
     const std::string& field() const { return field_; }
--- a/src/protocol/settings_file.cpp
+++ b/src/protocol/settings_file.cpp
@@ -184,15 +184,15 @@
     constexpr const char* kStartLatency = "wait";
     constexpr std::array<std::string_view, 3> kOthers{"finished", "deadline", "guarantee"};
     constexpr double kMaxLatencyS = 1e9;
-    std::string kind = objective.text("kind");
+    std::string measure = objective.text("kind");
     if (objective.has("class")) {
         settings.classes.push_back(objective.text("class"));
     }
-    if (kind == kStartLatency) {
+    if (measure == kStartLatency) {
         settings.start_latency_objectives.push_back(
             {objective.text("class"), objective.number("within_s", 0, kMaxLatencyS)});
-    } else if (std::find(kOthers.begin(), kOthers.end(), kind) == kOthers.end()) {
-        notes.push_back(objective.where("kind") + ": '" + kind + "' is not known and ignored");
+    } else if (std::find(kOthers.begin(), kOthers.end(), measure) == kOthers.end()) {
+        notes.push_back(objective.where("kind") + ": '" + measure + "' is not known and ignored");
     }
 }
 
--- a/tests/loopback/stand_ins.hpp
+++ b/tests/loopback/stand_ins.hpp
@@ -150,6 +150,9 @@
             expire();
             return {200, Json{{"permit", 1}}};
         }
+        return transact(b);
+    }
+    std::pair<int, Json> transact(const Json& b) {
         Json failed = Json::array();
         for (const Json& c : b.at("if")) {
             auto it = rows.find(c["k"].get<std::string>());
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -420,16 +420,16 @@
         server->answer(a.request, protocol::encode(a));
     });
     std::vector<int> fds;
-    int progress_saved = 0, closed = 0;
+    int kept_open = 0, closed = 0;
     for (int i = 0; i < 40; ++i) {
         int fd = connect_to(server->port());
         fds.push_back(fd);
         std::string got = report_over(base.get(), fd);
         EXPECT_EQ(got.substr(0, 15), "HTTP/1.1 200 OK") << i;
-        (got.find("Connection: close") == std::string::npos ? progress_saved : closed) += 1;
+        (got.find("Connection: close") == std::string::npos ? kept_open : closed) += 1;
         EXPECT_LE(server->connections(), 8U);
     }
-    EXPECT_GE(progress_saved, 4);
+    EXPECT_GE(kept_open, 4);
     EXPECT_GE(closed, 20);
     for (int fd : fds) {
         close(fd);
--- a/tests/standin/machines.cpp
+++ b/tests/standin/machines.cpp
@@ -66,6 +66,40 @@
     at(soon, [this, name = w.name] { heartbeat(name); });
 }
 
+void World::deliver_heartbeat(std::size_t to, const WorkerStatus& status,
+                              std::function<void(HeartbeatResponse)> respond) {
+    Host& host = *hosts_[to];
+    if (!host.controller) {
+        HeartbeatResponse refused;
+        refused.code = 0;
+        respond(refused);
+        return;
+    }
+    RequestId id = next_request_++;
+    host.heartbeats[id] = std::move(respond);
+    feed(to, HeartbeatRequest{id, status});
+}
+
+// Copies arrive from seconds to well over a lease late, at any controller: perhaps at one that
+// never saw the heartbeat itself.
+void World::copy_heartbeat_sometimes(std::size_t controller, const WorkerStatus& status) {
+    if (o_.faults && now_ < o_.duration * 8 / 10 &&
+        chance(now_ < active_.late_reports ? 0.4 : 0.04)) {
+        std::size_t copy_to =
+            chance(0.5) ? controller
+                        : static_cast<std::size_t>(pick(0, static_cast<int>(o_.controllers) - 1));
+        Ms late = pick(1000, 45000);
+        ++copies;
+        well_since_ = std::max(well_since_, now_ + late);
+        at(now_ + late, [this, status, copy_to] {
+            deliver_heartbeat(copy_to, status, [](const HeartbeatResponse&) {});
+        });
+    }
+    if (now_ < active_.reports_for_next_leader && chance(0.3)) {
+        replayed_reports_.push_back(status);
+    }
+}
+
 void World::heartbeat(const std::string& name) {
     auto it = workers_.find(name);
     if (it == workers_.end()) {
@@ -78,88 +112,67 @@
     w.in_flight = true;
     w.last_sent = now_;
     w.next_heartbeat = now_ + static_cast<Ms>(kReport * static_cast<double>(pick(750, 1250)));
-    WorkerStatus r = worker_status(w);
+    WorkerStatus status = worker_status(w);
     std::size_t controller = w.controller;
-    Ms sent = now_;
     HeartbeatResponse none;
     none.code = 0;
-    auto deliver = [this, r](std::size_t to, std::function<void(HeartbeatResponse)> respond) {
-        Host& h = *hosts_[to];
-        if (!h.controller) {
-            HeartbeatResponse refused;
-            refused.code = 0;
-            respond(refused);
-            return;
-        }
-        RequestId id = next_request_++;
-        h.heartbeats[id] = std::move(respond);
-        feed(to, HeartbeatRequest{id, r});
-    };
-    if (o_.faults && now_ < o_.duration * 8 / 10 &&
-        chance(now_ < active_.late_reports ? 0.4 : 0.04)) {
-        // A late copy of the report.
-        // (From seconds to well over a lease, to any controller: perhaps one that never saw it.)
-        std::size_t copy_to =
-            chance(0.5) ? controller
-                        : static_cast<std::size_t>(pick(0, static_cast<int>(o_.controllers) - 1));
-        Ms late = pick(1000, 45000);
-        ++copies;
-        well_since_ = std::max(well_since_, now_ + late);
-        at(now_ + late, [deliver, copy_to] { deliver(copy_to, [](const HeartbeatResponse&) {}); });
-    }
-    if (now_ < active_.reports_for_next_leader && chance(0.3)) {
-        replayed_reports_.push_back(r);
-    }
+    copy_heartbeat_sometimes(controller, status);
     call<HeartbeatResponse>(
         name, "n" + std::to_string(controller), 4000, none,
-        [this, deliver, controller,
+        [this, status, controller,
          mute = now_ < w.mute_until](std::function<void(HeartbeatResponse)> respond) {
             muted += mute;
             if (!mute) {
-                deliver(controller, std::move(respond));
+                deliver_heartbeat(controller, status, std::move(respond));
             }
         },
-        [this, name, sent, incarnation = r.incarnation, controller](HeartbeatResponse a) {
-            auto found = workers_.find(name);
-            if (found == workers_.end()) {
-                return;
+        [this, name, sent = now_, incarnation = status.incarnation,
+         controller](const HeartbeatResponse& response) {
+            take_response(name, sent, incarnation, controller, response);
+        });
+}
+
+void World::take_response(const std::string& name, Ms sent, std::uint64_t incarnation,
+                          std::size_t controller, const HeartbeatResponse& response) {
+    auto found = workers_.find(name);
+    if (found == workers_.end()) {
+        return;
+    }
+    Worker& worker = *found->second;
+    worker.in_flight = false;
+    if (response.code == 200) {
+        bool old = response.fencing_token < worker.fencing_token;
+        if (incarnation == worker.incarnation && !old) {
+            if (response.fencing_token > worker.fencing_token) {
+                worker.fencing_token = response.fencing_token;
+                worker.next_heartbeat = now_ + 500;
             }
-            Worker& worker = *found->second;
-            worker.in_flight = false;
-            if (a.code == 200) {
-                bool old = a.fencing_token < worker.fencing_token;
-                if (incarnation == worker.incarnation && !old) {
-                    if (a.fencing_token > worker.fencing_token) {
-                        worker.fencing_token = a.fencing_token;
-                        worker.next_heartbeat = now_ + 500;
-                    }
-                    worker.lease_from = std::max(worker.lease_from, sent);
-                    for (const WorkerCommand& o : a.commands) {
-                        execute(worker, o);
-                    }
-                }
-            } else if (a.code == 421 && !a.leader.empty() &&
-                       a.leader != "n" + std::to_string(controller)) {
-                worker.controller = static_cast<std::size_t>(a.leader[1] - '0');
-                worker.next_heartbeat = now_ + pick(0, 500);
-            } else {
-                worker.controller = (worker.controller + 1) % o_.controllers;
-                worker.next_heartbeat = now_ + 1000;
+            worker.lease_from = std::max(worker.lease_from, sent);
+            for (const WorkerCommand& command : response.commands) {
+                execute(worker, command);
             }
-            at(std::max(now_, worker.next_heartbeat), [this, name] { heartbeat(name); });
-        });
+        }
+    } else if (response.code == 421 && !response.leader.empty() &&
+               response.leader != "n" + std::to_string(controller)) {
+        worker.controller = static_cast<std::size_t>(response.leader[1] - '0');
+        worker.next_heartbeat = now_ + pick(0, 500);
+    } else {
+        worker.controller = (worker.controller + 1) % o_.controllers;
+        worker.next_heartbeat = now_ + 1000;
+    }
+    at(std::max(now_, worker.next_heartbeat), [this, name] { heartbeat(name); });
 }
 
 // A leader begins: the copies that were kept reach every controller, older than all it will hear.
 void World::deliver_replayed_reports() {
-    for (const WorkerStatus& progress_saved : replayed_reports_) {
+    for (const WorkerStatus& status : replayed_reports_) {
         for (std::size_t i = 0; i < o_.controllers; ++i) {
-            at(now_ + pick(0, 400), [this, i, progress_saved] {
+            at(now_ + pick(0, 400), [this, i, status] {
                 if (!hosts_[i]->controller) {
                     return;
                 }
                 ++reports_for_next;
-                feed(i, HeartbeatRequest{next_request_++, progress_saved});
+                feed(i, HeartbeatRequest{next_request_++, status});
             });
         }
     }
@@ -175,60 +188,74 @@
 }
 
 void World::execute(Worker& w, const WorkerCommand& o) {
+    switch (o.type) {
+        case WorkerCommandType::clear: {
+            auto it = w.tasks.find(std::tuple{o.job, o.task, o.attempt});
+            if (it != w.tasks.end() && it->second.state == TaskState::exited) {
+                w.tasks.erase(it);
+            }
+            return;
+        }
+        case WorkerCommandType::run:
+            execute_run(w, o);
+            return;
+        case WorkerCommandType::stop:
+            execute_stop(w, o);
+            return;
+    }
+}
+
+void World::execute_run(Worker& w, const WorkerCommand& o) {
     auto key = std::tuple{o.job, o.task, o.attempt};
     auto it = w.tasks.find(key);
-    if (o.type == WorkerCommandType::clear) {
-        if (it != w.tasks.end() && it->second.state == TaskState::exited) {
-            w.tasks.erase(it);
-        }
+    if (it != w.tasks.end()) {
         return;
     }
-    if (o.type == WorkerCommandType::run) {
-        if (it != w.tasks.end()) {
-            return;
-        }
-        Running& r = w.tasks[key];
-        r.job = o.job;
-        r.task = o.task;
-        r.attempt = o.attempt;
-        auto refuse = [&](const char* cause) {
-            r.state = TaskState::exited;
-            r.cause = cause;
-            changed(w);
-        };
-        auto j = jobs_.find(o.job);
-        if (j == jobs_.end() || !j->second->submitted || o.task >= j->second->spec.tasks) {
-            refuse("unknown");
-            return;
-        }
-        Resources used;
-        for (auto& [k, t] : w.tasks) {
-            if (t.state == TaskState::exited || k == key) {
-                continue;
-            }
-            used += jobs_.at(t.job)->spec.each;
-            if (t.job == o.job && t.task == o.task) {
-                refuse("busy");
-                return;
-            }
+    Running& r = w.tasks[key];
+    r.job = o.job;
+    r.task = o.task;
+    r.attempt = o.attempt;
+    auto refuse = [&](const char* cause) {
+        r.state = TaskState::exited;
+        r.cause = cause;
+        changed(w);
+    };
+    auto j = jobs_.find(o.job);
+    if (j == jobs_.end() || !j->second->submitted || o.task >= j->second->spec.tasks) {
+        refuse("unknown");
+        return;
+    }
+    Resources used;
+    for (auto& [k, t] : w.tasks) {
+        if (t.state == TaskState::exited || k == key) {
+            continue;
         }
-        if (!j->second->spec.each.fits_in(machine_types_[w.machine_type].size - used)) {
-            refuse("no_room");
+        used += jobs_.at(t.job)->spec.each;
+        if (t.job == o.job && t.task == o.task) {
+            refuse("busy");
             return;
         }
-        r.state = TaskState::pulling;
-        note(w, r, TaskEvent::What::ordered);
-        begin_fetch(w, j->second->image());
-        changed(w);
-        at(now_ + pick(200, 4000), [this, name = w.name, o, incarnation = w.incarnation] {
-            auto found = workers_.find(name);
-            if (found == workers_.end() || found->second->incarnation != incarnation) {
-                return;
-            }
-            image_ready(name, o.job, o.task, o.attempt);
-        });
+    }
+    if (!j->second->spec.each.fits_in(machine_types_[w.machine_type].size - used)) {
+        refuse("no_room");
         return;
     }
+    r.state = TaskState::pulling;
+    note(w, r, TaskEvent::What::ordered);
+    begin_fetch(w, j->second->image());
+    changed(w);
+    at(now_ + pick(200, 4000), [this, name = w.name, o, incarnation = w.incarnation] {
+        auto found = workers_.find(name);
+        if (found == workers_.end() || found->second->incarnation != incarnation) {
+            return;
+        }
+        image_ready(name, o.job, o.task, o.attempt);
+    });
+}
+
+void World::execute_stop(Worker& w, const WorkerCommand& o) {
+    auto key = std::tuple{o.job, o.task, o.attempt};
+    auto it = w.tasks.find(key);
     if (it == w.tasks.end() || it->second.state == TaskState::exited) {
         return;
     }
--- a/tests/standin/world.hpp
+++ b/tests/standin/world.hpp
@@ -228,8 +228,15 @@
                      Ms up_at);
     void kill_machine(const std::string& name);
     void heartbeat(const std::string& name);
+    void deliver_heartbeat(std::size_t to, const WorkerStatus& status,
+                           std::function<void(HeartbeatResponse)> respond);
+    void copy_heartbeat_sometimes(std::size_t controller, const WorkerStatus& status);
+    void take_response(const std::string& name, Ms sent, std::uint64_t incarnation,
+                       std::size_t controller, const HeartbeatResponse& response);
     WorkerStatus worker_status(Worker& w);
     void execute(Worker& w, const WorkerCommand& o);
+    void execute_run(Worker& w, const WorkerCommand& o);
+    void execute_stop(Worker& w, const WorkerCommand& o);
     void changed(Worker& w);
     void image_ready(const std::string& machine, const std::string& job, std::uint32_t task,
                      std::uint32_t attempt);
