--- a/src/coordination/leader/placement_writer.cpp
+++ b/src/coordination/leader/placement_writer.cpp
@@ -126,7 +126,7 @@
     cluster.dirty.insert(write.record);
     record.retry_at = now + kWriteRetryDelay;
     if (response.status == StoreStatus::too_large) {
-        spdlog::error("the state service refuses the record {} as too large", write.key);
+        spdlog::error("the state service rejects the record {} as too large", write.key);
         record.retry_at = now + kTooLargeRetryDelay;
     }
     if (response.status == StoreStatus::conflict) {
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -16,9 +16,9 @@
 constexpr std::uint64_t kFencingToken = 1;
 
 // One leader after another keeps the registry in one state service.
-class RegistryStoreTest : public testing::Test {
+class MachineRegistryTest : public testing::Test {
   protected:
-    RegistryStoreTest() {
+    MachineRegistryTest() {
         spdlog::set_level(std::getenv("LOG_LEVEL") ? spdlog::level::debug : spdlog::level::off);
         StoreRequest leader;
         leader.operation = StoreOperation::transaction;
@@ -127,7 +127,7 @@
 
 // 4,000 machines left of 12,000 rented, in four zones, with rentals open, in values of 1 KiB and
 // transactions of four changes.
-TEST_F(RegistryStoreTest, HoldsFourThousandMachinesInValuesOfOneKilobyte) {
+TEST_F(MachineRegistryTest, HoldsFourThousandMachinesInValuesOfOneKilobyte) {
     set_limits({1000, 1000, 1, 4}, std::nullopt);
     take_over(kFeatureServices);
     store->create();
@@ -175,7 +175,7 @@
 
 // While a controller is old the registry stays in its one value, and what does not fit there is not
 // rented; parts are written as soon as all read them.
-TEST_F(RegistryStoreTest, IsDividedOnlyOnceAllControllersReadParts) {
+TEST_F(MachineRegistryTest, IsDividedOnlyOnceAllControllersReadParts) {
     set_limits({1000, 1000, 2, 8}, std::nullopt);
     take_over(kFeatureNone);
     store->create();
@@ -207,7 +207,7 @@
 
 // The limits fall, and leaders end, in the midst of the division: no machine is lost, at whatever
 // transaction it happens and whatever answers are.
-TEST_F(RegistryStoreTest, ADivisionCutShortIsCompletedByTheNextLeader) {
+TEST_F(MachineRegistryTest, ADivisionCutShortIsCompletedByTheNextLeader) {
     for (int cut = 1; cut <= 8; ++cut) {
         SCOPED_TRACE(cut);
         service = standin::KeyValueStore();
@@ -244,7 +244,7 @@
 }
 
 // What has changed is written, and nothing else.
-TEST_F(RegistryStoreTest, OnlyChangedPartsAreWritten) {
+TEST_F(MachineRegistryTest, OnlyChangedPartsAreWritten) {
     set_limits({1000, 1000, 1, 8}, std::nullopt);
     take_over(kFeatureServices);
     store->create();
@@ -269,7 +269,7 @@
 }
 
 // A part that can't be read: nothing is rented or given back on its account.
-TEST_F(RegistryStoreTest, AGarbledPartIsNotTakenForAnEmptyOne) {
+TEST_F(MachineRegistryTest, AGarbledPartIsNotTakenForAnEmptyOne) {
     take_over(kFeatureServices);
     context->replica.apply({keys::registry_part(3), Json{{"m", "garbled"}}, 99});
     MachineRegistry other(*leader_context);
