--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -3,6 +3,10 @@
 
 #include <algorithm>
 #include <cstddef>
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "leader_bench.hpp"
 
@@ -70,68 +74,100 @@
     EXPECT_EQ(low_begins_after(0), -1) << "without the rise it waits for ever";
 }
 
+// Keeps machines half full: short jobs run on them, end at different times, and each that ends is
+// followed by another.
+class ShortJobs {
+  public:
+    ShortJobs(LeaderBench& bench, std::vector<std::string> hosts)
+        : bench_(bench), hosts_(std::move(hosts)) {}
+
+    void submit() {
+        JobSpec spec = bench_.spec("j-a" + std::to_string(next_++), 4);
+        spec.estimate_s = 20;
+        bench_.job(spec);
+    }
+    // Sends a heartbeat of every machine, with the ends of the jobs that are over by now.
+    void step() {
+        std::vector<std::string> over = find_over();
+        send_heartbeats(over);
+        for (const std::string& id : over) {
+            runs_.erase(id);
+            submit();
+        }
+    }
+
+  private:
+    struct Run {
+        std::string host;
+        Ms ends_at = 0;
+    };
+
+    std::vector<std::string> find_over() {
+        std::vector<std::string> over;
+        for (const Job& job : bench_.cluster().jobs) {
+            const std::string& id = job.spec.id;
+            if (!job.alive || id == "j-gang" || bench_.where(id).empty()) {
+                continue;
+            }
+            Run run{bench_.where(id), bench_.now + 12000 + static_cast<Ms>(1700 * (next_++ % 9))};
+            auto [it, inserted] = runs_.try_emplace(id, std::move(run));
+            if (!inserted && bench_.now >= it->second.ends_at) {
+                over.push_back(id);
+            }
+        }
+        return over;
+    }
+    void send_heartbeats(const std::vector<std::string>& over) {
+        std::map<std::string, std::vector<ReportedTask>> reports;
+        for (const std::string& host : hosts_) {
+            reports[host];
+        }
+        for (const auto& [id, run] : runs_) {
+            bool ends = std::find(over.begin(), over.end(), id) != over.end();
+            reports[run.host].push_back({id, 0, 1, ends ? TaskState::exited : TaskState::running,
+                                         ends ? "done" : "", false});
+        }
+        for (auto& [host, tasks] : reports) {
+            bench_.heartbeat(host, tasks);
+        }
+    }
+
+    LeaderBench& bench_;
+    std::vector<std::string> hosts_;
+    std::map<std::string, Run> runs_;  // by job
+    int next_ = 0;
+};
+
 // Twelve machines of one zone, each always half full of short tasks that end at different times;
 // arrays keep coming. A gang of eight that needs eight empty halves at once, as on the grown
 // deployments.
-Ms gang_begins_after(std::uint32_t gather) {
+Ms gang_begins_after(std::uint32_t reserving_gangs) {
     LeaderBench bench([&](LeaderBench& b) {
-        b.operator_settings.max_reserving_gangs = gather;
+        b.operator_settings.max_reserving_gangs = reserving_gangs;
         b.platform_settings.teams[0].quota = {0, 0, 0};
     });
-    std::vector<std::pair<std::string, int>> hosts;
-    hosts.reserve(12);
+    std::vector<std::string> hosts;
+    std::vector<std::pair<std::string, int>> machines;
     for (int i = 0; i < 12; ++i) {
-        hosts.emplace_back("host-" + std::to_string(10 + i), 0);
+        hosts.push_back("host-" + std::to_string(10 + i));
+        machines.emplace_back(hosts.back(), 0);
     }
-    bench.lead(hosts);
-    std::map<std::string, std::pair<std::string, Ms>> runs;  // job -> machine, ends at
-    int next = 0;
-    auto more = [&] {
-        JobSpec s = bench.spec("j-a" + std::to_string(next++), 4);
-        s.estimate_s = 20;
-        bench.job(s);
-    };
+    bench.lead(machines);
+    ShortJobs short_jobs(bench, hosts);
     for (int i = 0; i < 30; ++i) {
-        more();
+        short_jobs.submit();
     }
     bench.pass(1000);
     JobSpec gang = bench.spec("j-gang", 8, 8, true);
     gang.one_zone = true;
     bench.job(gang);
-    Ms began = bench.now;
-    while (bench.now < began + 400000) {
+    Ms submitted_at = bench.now;
+    while (bench.now < submitted_at + 400000) {
         bench.pass(500);
         if (!bench.where("j-gang").empty()) {
-            return bench.now - began;
-        }
-        std::vector<std::string> over;
-        for (const Job& j : bench.cluster().jobs) {
-            if (!j.alive || j.spec.id == "j-gang" || bench.where(j.spec.id).empty()) {
-                continue;
-            }
-            auto [it, fresh] =
-                runs.try_emplace(j.spec.id, bench.where(j.spec.id),
-                                 bench.now + 12000 + static_cast<long>(1700 * (next++ % 9)));
-            if (!fresh && bench.now >= it->second.second) {
-                over.push_back(j.spec.id);
-            }
-        }
-        std::map<std::string, std::vector<ReportedTask>> reports;
-        for (const auto& [host, machine_type] : hosts) {
-            reports[host];
-        }
-        for (const auto& [id, run] : runs) {
-            bool ends = std::find(over.begin(), over.end(), id) != over.end();
-            reports[run.first].push_back({id, 0, 1, ends ? TaskState::exited : TaskState::running,
-                                          ends ? "done" : "", false});
-        }
-        for (auto& [host, tasks] : reports) {
-            bench.heartbeat(host, tasks);
-        }
-        for (const std::string& id : over) {
-            runs.erase(id);
-            more();
+            return bench.now - submitted_at;
         }
+        short_jobs.step();
     }
     return -1;
 }
