--- /dev/null
+++ b/src/protocol/store_codec.cpp
@@ -0,0 +1,219 @@
+// Requests to the state service and its responses.
+#include <spdlog/spdlog.h>
+
+#include "protocol/field_names.hpp"
+#include "protocol/json_fields.hpp"
+#include "protocol/wire.hpp"
+
+namespace walkford::protocol {
+
+namespace fields = store_fields;
+
+namespace {
+
+// A page of a list holds up to 400 values.
+constexpr PackLimits kStoreLimits{std::size_t{8} * 1024 * 1024, std::size_t{1024} * 1024, 32};
+
+Json encode_write(const Write& write) {
+    if (!write.value) {
+        return Json{{fields::kDeletedKey, write.key}};
+    }
+    Json entry{{fields::kWrittenKey, write.key}, {fields::kValue, *write.value}};
+    if (write.lease != 0) {
+        entry[fields::kLease] = write.lease;
+    }
+    return entry;
+}
+
+Json encode_transaction(const Transaction& transaction) {
+    Json comparisons = Json::array();
+    for (const Comparison& comparison : transaction.comparisons) {
+        comparisons.push_back(
+            Json{{fields::kKey, comparison.key}, {fields::kVersion, comparison.version}});
+    }
+    Json writes = Json::array();
+    for (const Write& write : transaction.writes) {
+        writes.push_back(encode_write(write));
+    }
+    return Json{{fields::kComparisons, std::move(comparisons)},
+                {fields::kWrites, std::move(writes)}};
+}
+
+std::string list_path(const StoreRequest& request) {
+    std::string path = fields::kListPath + request.key;
+    if (!request.after_key.empty()) {
+        path += fields::kAfterParameter + request.after_key;
+    }
+    return path + fields::kListLimitParameter;
+}
+
+std::string changes_path(const StoreRequest& request) {
+    return fields::kChangesPath + request.key + fields::kAfterParameter +
+           std::to_string(request.after) + fields::kWaitMsParameter +
+           std::to_string(request.wait_ms);
+}
+
+std::string lease_path(const StoreRequest& request) {
+    return fields::kLeasePathPrefix + std::to_string(request.lease);
+}
+
+StoreStatus status_of(int code) {
+    switch (code) {
+        case 0:
+            return StoreStatus::no_response;
+        case 200:
+            return StoreStatus::ok;
+        case 400:
+            return StoreStatus::too_large;
+        case 404:
+            return StoreStatus::not_found;
+        case 409:
+            return StoreStatus::conflict;
+        case 410:
+            return StoreStatus::compacted;
+        case 429:
+            return StoreStatus::rate_limited;
+        case 503:
+            return StoreStatus::unavailable;
+        default:
+            return StoreStatus::unexpected;
+    }
+}
+
+StoreEntry decode_row(const Json& row) {
+    return {text_field(row, fields::kKey), required_field(row, fields::kValue),
+            whole_field(row, fields::kVersion)};
+}
+
+void decode_event(const Json& event, StoreResponse& response) {
+    if (!absent(event, fields::kWrittenKey)) {
+        response.rows.push_back({text_field(event, fields::kWrittenKey),
+                                 required_field(event, fields::kValue),
+                                 whole_field(event, fields::kVersion)});
+    } else if (!absent(event, fields::kDeletedKey)) {
+        response.rows.push_back({text_field(event, fields::kDeletedKey), std::nullopt,
+                                 whole_field(event, fields::kVersion)});
+    } else {
+        spdlog::warn("unknown event from the state service ignored");
+    }
+}
+
+// What a response says whatever its status is.
+void decode_common_fields(const Json& body, StoreResponse& response) {
+    if (!absent(body, fields::kRevision)) {
+        response.revision = whole_field(body, fields::kRevision);
+    }
+    if (!absent(body, fields::kFailedComparisons)) {
+        for (const Json& key : body[fields::kFailedComparisons]) {
+            response.failed.push_back(key.get<std::string>());
+        }
+    }
+}
+
+// The result of a request that succeeded.
+void decode_result(const Json& body, StoreOperation operation, StoreResponse& response) {
+    switch (operation) {
+        case StoreOperation::get:
+            response.rows.push_back(decode_row(body));
+            break;
+        case StoreOperation::list:
+            for (const Json& row : required_field(body, fields::kRows)) {
+                response.rows.push_back(decode_row(row));
+            }
+            response.more = optional_flag(body, fields::kTruncated);
+            break;
+        case StoreOperation::changes:
+            for (const Json& event : required_field(body, fields::kEvents)) {
+                decode_event(event, response);
+            }
+            break;
+        case StoreOperation::lease_grant:
+            response.lease = whole_field(body, fields::kLease);
+            break;
+        default:
+            break;
+    }
+}
+
+// The request may have been executed all the same.
+void mark_not_understood(StoreResponse& response) {
+    response.status = StoreStatus::no_response;
+    response.rows.clear();
+}
+
+bool has_no_body(StoreStatus status) {
+    return status == StoreStatus::no_response || status == StoreStatus::rate_limited ||
+           status == StoreStatus::unavailable;
+}
+
+}  // namespace
+
+HttpCall encode(const StoreRequest& request) {
+    HttpCall http;
+    switch (request.operation) {
+        case StoreOperation::get:
+            http.path = fields::kKeyPathPrefix + request.key;
+            break;
+        case StoreOperation::list:
+            http.path = list_path(request);
+            break;
+        case StoreOperation::changes:
+            http.path = changes_path(request);
+            break;
+        case StoreOperation::lease_grant:
+            http.method = Method::post;
+            http.path = fields::kLeasesPath;
+            http.body = pack(Json{{fields::kLeaseTtlMs, request.ttl_ms}});
+            break;
+        case StoreOperation::lease_renew:
+            http.method = Method::post;
+            http.path = lease_path(request) + fields::kRenewPathSuffix;
+            http.body = pack(Json::object());
+            break;
+        case StoreOperation::lease_revoke:
+            http.method = Method::del;
+            http.path = lease_path(request);
+            break;
+        case StoreOperation::transaction:
+            http.method = Method::post;
+            http.path = fields::kTransactionPath;
+            http.body = pack(encode_transaction(request.transaction));
+            break;
+    }
+    return http;
+}
+
+StoreResponse decode_store_response(const StoreRequest& request, int code, std::string_view body) {
+    StoreResponse response;
+    response.call = request.call;
+    response.status = status_of(code);
+    if (has_no_body(response.status)) {
+        return response;
+    }
+    if (body.empty() && (code == 204 || request.operation == StoreOperation::lease_revoke)) {
+        return response;
+    }
+    auto document = unpack(body, kStoreLimits);
+    if (!document || !document->is_object()) {
+        // Whatever it meant, the request may have been executed.
+        if (code == 200) {
+            response.status = StoreStatus::no_response;
+        }
+        return response;
+    }
+    try {
+        decode_common_fields(*document, response);
+        if (code == 200) {
+            decode_result(*document, request.operation, response);
+        }
+    } catch (const DecodeError& error) {
+        spdlog::warn("answer of the state service not understood: {}", error.what());
+        mark_not_understood(response);
+    } catch (const Json::exception&) {
+        spdlog::warn("answer of the state service not understood");
+        mark_not_understood(response);
+    }
+    return response;
+}
+
+}  // namespace walkford::protocol
--- a/src/protocol/wire.cpp
+++ b/src/protocol/wire.cpp
@@ -1,80 +1,108 @@
 // Requests to this controller, by method and path.
-#include "protocol/wire_fields.hpp"
+#include "protocol/wire.hpp"
+
+#include "protocol/field_names.hpp"
+#include "protocol/json_fields.hpp"
 #include "protocol/wire_requests.hpp"
 
 namespace walkford::protocol {
 
-HttpReply error_reply(int code, const std::string& why) {
-    return {code, pack(Json{{"error", why}}), code == 503 || code == 429 ? 1 : 0};
+namespace {
+constexpr std::size_t kMaxPathBytes = 300;
+
+HttpReply no_such_path() { return error_reply(404, "no such path"); }
+HttpReply method_not_allowed() { return error_reply(405, "method not allowed"); }
+HttpReply not_messagepack() { return error_reply(400, "not a MessagePack value"); }
+
+ParsedRequest parse_ready(RequestId request, Method method) {
+    if (method != Method::get) {
+        return method_not_allowed();
+    }
+    return Input{ReadyRequest{request}};
+}
+
+ParsedRequest parse_heartbeat(RequestId request, Method method, std::string_view body) {
+    if (method != Method::post) {
+        return method_not_allowed();
+    }
+    auto document = unpack(body);
+    if (!document) {
+        return not_messagepack();
+    }
+    return Input{HeartbeatRequest{request, decode_worker_status(*document)}};
+}
+
+ParsedRequest parse_submission(RequestId request, Method method, std::string_view body) {
+    if (method != Method::post) {
+        return method_not_allowed();
+    }
+    auto document = unpack(body);
+    if (!document) {
+        return not_messagepack();
+    }
+    return Input{decode_submission(request, *document)};
+}
+
+// `path` is what follows "/work/": the id of a job, for a cancellation with "/cancel" behind it.
+ParsedRequest parse_job_request(RequestId request, Method method, std::string_view path) {
+    constexpr std::string_view kCancelSuffix = user_fields::kCancelPathSuffix;
+    bool cancel = path.size() > kCancelSuffix.size() && path.ends_with(kCancelSuffix);
+    if (cancel) {
+        path.remove_suffix(kCancelSuffix.size());
+    }
+    std::string job_id(path);
+    // What can't be an id was never submitted; it must never become part of a key.
+    if (!job_id_ok(job_id)) {
+        return error_reply(404, "no such job");
+    }
+    if (method != (cancel ? Method::post : Method::get)) {
+        return method_not_allowed();
+    }
+    if (cancel) {
+        return Input{CancelRequest{request, job_id}};
+    }
+    return Input{PollRequest{request, job_id}};
+}
+
+ParsedRequest parse_by_path(RequestId request, Method method, std::string_view path,
+                            std::string_view body) {
+    if (path == user_fields::kReadyPath) {
+        return parse_ready(request, method);
+    }
+    if (path == worker_fields::kHeartbeatPath) {
+        return parse_heartbeat(request, method, body);
+    }
+    if (path == user_fields::kJobsPath) {
+        return parse_submission(request, method, body);
+    }
+    constexpr std::string_view kJobPathPrefix = user_fields::kJobPathPrefix;
+    if (path.starts_with(kJobPathPrefix)) {
+        return parse_job_request(request, method, path.substr(kJobPathPrefix.size()));
+    }
+    return no_such_path();
+}
+}  // namespace
+
+HttpReply error_reply(int code, const std::string& message) {
+    bool retry = code == 503 || code == 429;
+    return {code, pack(Json{{user_fields::kError, message}}), retry ? 1 : 0};
 }
 
-Arrival parse_request(RequestId request, Method method, std::string_view path,
-                      std::string_view body) {
-    if (auto cut = path.find('?'); cut != std::string_view::npos) {
-        path = path.substr(0, cut);
+ParsedRequest parse_request(RequestId request, Method method, std::string_view path,
+                            std::string_view body) {
+    if (auto query = path.find('?'); query != std::string_view::npos) {
+        path = path.substr(0, query);
     }
-    if (path.size() > 300) {
-        return error_reply(404, "no such path");
+    if (path.size() > kMaxPathBytes) {
+        return no_such_path();
     }
-    auto wrong = [] { return error_reply(405, "method not allowed"); };
     try {
-        if (path == "/ready") {
-            if (method != Method::get) {
-                return wrong();
-            }
-            return Input{ReadyRequest{request}};
-        }
-        if (path == "/agent/beat") {
-            if (method != Method::post) {
-                return wrong();
-            }
-            auto doc = unpack(body);
-            if (!doc) {
-                return error_reply(400, "not a MessagePack value");
-            }
-            return Input{HeartbeatRequest{request, read_worker_status(*doc)}};
-        }
-        if (path == "/work") {
-            if (method != Method::post) {
-                return wrong();
-            }
-            auto doc = unpack(body);
-            if (!doc) {
-                return error_reply(400, "not a MessagePack value");
-            }
-            return Input{parse_job(request, *doc)};
-        }
-        constexpr std::string_view kWork = "/work/";
-        if (path.substr(0, kWork.size()) == kWork) {
-            std::string_view rest = path.substr(kWork.size());
-            constexpr std::string_view kCancel = "/cancel";
-            bool cancel = rest.size() > kCancel.size() &&
-                          rest.substr(rest.size() - kCancel.size()) == kCancel;
-            if (cancel) {
-                rest = rest.substr(0, rest.size() - kCancel.size());
-            }
-            std::string id(rest);
-            // What can't be an id was never submitted; it never comes near a key.
-            if (!job_id_ok(id)) {
-                return error_reply(404, "no such job");
-            }
-            if (cancel) {
-                if (method != Method::post) {
-                    return wrong();
-                }
-                return Input{CancelRequest{request, id}};
-            }
-            if (method != Method::get) {
-                return wrong();
-            }
-            return Input{PollRequest{request, id}};
-        }
-    } catch (const BadField& e) {
-        return error_reply(400, e.what);
+        return parse_by_path(request, method, path, body);
+    } catch (const DecodeError& error) {
+        return error_reply(400, error.what());
     } catch (const Json::exception&) {
         return error_reply(400, "malformed");
     }
-    return error_reply(404, "no such path");
 }
 
 }  // namespace walkford::protocol
--- a/src/protocol/wire_requests.hpp
+++ b/src/protocol/wire_requests.hpp
@@ -1,12 +1,14 @@
-// The bodies of requests that come from users and workers. A field that is missing or of the wrong
-// sort is thrown as BadField.
+// The bodies of requests that come from users and workers. Both functions throw DecodeError for a
+// field that is missing or invalid.
 #pragma once
 
 #include "protocol/wire.hpp"
 
 namespace walkford::protocol {
 
-SubmitRequest parse_job(RequestId request, const Json& body);
-WorkerStatus read_worker_status(const Json& body);
+// A job that a user submits.
+SubmitRequest decode_submission(RequestId request, const Json& body);
+// What a worker reports of itself, in a heartbeat or in the response to a command.
+WorkerStatus decode_worker_status(const Json& body);
 
 }  // namespace walkford::protocol
--- /dev/null
+++ b/src/protocol/worker_codec.cpp
@@ -0,0 +1,193 @@
+// What workers report and are told.
+#include <charconv>
+#include <optional>
+
+#include "protocol/field_names.hpp"
+#include "protocol/json_fields.hpp"
+#include "protocol/wire_requests.hpp"
+
+namespace walkford::protocol {
+
+namespace fields = worker_fields;
+
+namespace {
+
+// A task as workers name it.
+struct TaskName {
+    std::string job_id;
+    std::uint32_t task = 0;
+};
+
+// "j-000412/3"; nothing where it names no task.
+std::optional<TaskName> parse_task_name(const std::string& name) {
+    auto slash = name.rfind('/');
+    if (slash == std::string::npos || slash == 0) {
+        return std::nullopt;
+    }
+    TaskName parsed;
+    parsed.job_id = name.substr(0, slash);
+    const char* end = name.data() + name.size();
+    auto [rest, error] = std::from_chars(name.data() + slash + 1, end, parsed.task);
+    if (error != std::errc() || rest != end || !job_id_ok(parsed.job_id)) {
+        return std::nullopt;
+    }
+    return parsed;
+}
+
+TaskState decode_task_state(const std::string& state) {
+    if (state == fields::kTaskPulling) {
+        return TaskState::pulling;
+    }
+    if (state == fields::kTaskWaiting) {
+        return TaskState::waiting;
+    }
+    if (state == fields::kTaskRunning) {
+        return TaskState::running;
+    }
+    if (state == fields::kTaskSaving) {
+        return TaskState::saving;
+    }
+    if (state == fields::kTaskExited) {
+        return TaskState::exited;
+    }
+    return TaskState::unknown;
+}
+
+ReportedTask decode_reported_task(const Json& entry) {
+    if (!entry.is_object()) {
+        throw DecodeError::invalid(fields::kTasks);
+    }
+    auto name = parse_task_name(text_field(entry, fields::kTask));
+    if (!name) {
+        throw DecodeError::invalid(fields::kTask);
+    }
+    ReportedTask task;
+    task.job = std::move(name->job_id);
+    task.task = name->task;
+    task.attempt = static_cast<std::uint32_t>(whole_field(entry, fields::kAttempt));
+    task.state = decode_task_state(text_field(entry, fields::kTaskState));
+    if (!absent(entry, fields::kExitCause)) {
+        task.cause = text_field(entry, fields::kExitCause);
+    }
+    task.progress_saved = optional_flag(entry, fields::kProgressSaved);
+    return task;
+}
+
+// Nothing where the body can't be decoded.
+std::optional<WorkerStatus> try_decode_worker_status(const Json& body) {
+    try {
+        return decode_worker_status(body);
+    } catch (const DecodeError&) {
+        return std::nullopt;
+    }
+}
+
+Json encode_command(const WorkerCommand& command) {
+    Json entry{{fields::kTask, command.job + "/" + std::to_string(command.task)},
+               {fields::kAttempt, command.attempt}};
+    switch (command.type) {
+        case WorkerCommandType::run:
+            entry[fields::kCommand] = fields::kCommandRun;
+            break;
+        case WorkerCommandType::clear:
+            entry[fields::kCommand] = fields::kCommandClear;
+            break;
+        case WorkerCommandType::stop:
+            entry[fields::kCommand] = fields::kCommandStop;
+            entry[fields::kGraceS] = command.grace_s;
+            break;
+    }
+    return entry;
+}
+
+Json encode_commands(const std::vector<WorkerCommand>& commands) {
+    Json list = Json::array();
+    for (const WorkerCommand& command : commands) {
+        list.push_back(encode_command(command));
+    }
+    return list;
+}
+
+WorkerCallStatus status_of(int code) {
+    switch (code) {
+        case 200:
+            return WorkerCallStatus::ok;
+        case 409:
+            return WorkerCallStatus::conflict;
+        default:
+            return WorkerCallStatus::unexpected;
+    }
+}
+
+}  // namespace
+
+WorkerStatus decode_worker_status(const Json& body) {
+    if (!body.is_object()) {
+        throw DecodeError::not_a_map();
+    }
+    WorkerStatus status;
+    status.machine = text_field(body, fields::kMachine);
+    if (status.machine.empty()) {
+        throw DecodeError::invalid(fields::kMachine);
+    }
+    status.address = absent(body, fields::kAddress) ? "" : text_field(body, fields::kAddress);
+    status.machine_type = text_field(body, fields::kMachineType);
+    status.zone = text_field(body, fields::kZone);
+    status.spot = bool_field(body, fields::kSpot);
+    status.incarnation = whole_field(body, fields::kIncarnation);
+    status.sequence = whole_field(body, fields::kSequence);
+    status.fencing_token = whole_field(body, fields::kFencingToken);
+    if (!absent(body, fields::kReclaimNoticeS)) {
+        status.notice_s = decimal_field(body, fields::kReclaimNoticeS);
+    }
+    const Json& tasks = required_field(body, fields::kTasks);
+    if (!tasks.is_array()) {
+        throw DecodeError::invalid(fields::kTasks);
+    }
+    for (const Json& entry : tasks) {
+        status.tasks.push_back(decode_reported_task(entry));
+    }
+    return status;
+}
+
+HttpReply encode(const HeartbeatResponse& response) {
+    HttpReply reply;
+    reply.code = response.code;
+    Json body = Json::object();
+    if (response.code == 200) {
+        body[fields::kFencingToken] = response.fencing_token;
+        body[fields::kCommands] = encode_commands(response.commands);
+    } else if (!response.leader.empty()) {
+        body[fields::kLeader] = response.leader;
+    }
+    reply.body = pack(body);
+    return reply;
+}
+
+HttpCall encode(const WorkerRequest& request) {
+    HttpCall http;
+    http.method = Method::post;
+    http.path = fields::kCommandsPath;
+    http.body = pack(Json{{fields::kFencingToken, request.fencing_token},
+                          {fields::kIncarnation, request.incarnation},
+                          {fields::kCommands, encode_commands(request.commands)}});
+    return http;
+}
+
+WorkerResponse decode_worker_response(CallId call, int code, std::string_view body) {
+    WorkerResponse response;
+    response.call = call;
+    if (code == 0) {
+        return response;
+    }
+    response.status = status_of(code);
+    if (response.status == WorkerCallStatus::unexpected) {
+        return response;
+    }
+    if (auto document = unpack(body)) {
+        response.worker_status = try_decode_worker_status(*document);
+    }
+    return response;
+}
+
+}  // namespace walkford::protocol
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -7,6 +7,8 @@
 #include <algorithm>
 #include <stdexcept>
 
+#include "protocol/field_names.hpp"
+
 namespace walkford::transport {
 
 namespace {
@@ -151,7 +153,7 @@
     it->second.used = ++clock_;
     const char* uri = evhttp_request_get_uri(request);
     std::string_view path = uri ? uri : "";
-    if (path.substr(0, 7) == "/agent/") {
+    if (path.starts_with(protocol::worker_fields::kPathPrefix)) {
         it->second.worker = true;
     }
     if (fresh) {
@@ -169,8 +171,8 @@
         body = {reinterpret_cast<const char*>(evbuffer_pullup(in, -1)), size};
     }
     RequestId id = next_++;
-    protocol::Arrival arrival = protocol::parse_request(id, method_of(request), path, body);
-    if (auto* reply = std::get_if<protocol::HttpReply>(&arrival)) {
+    protocol::ParsedRequest parsed = protocol::parse_request(id, method_of(request), path, body);
+    if (auto* reply = std::get_if<protocol::HttpReply>(&parsed)) {
         if (reply->code == 400) {
             spdlog::debug("refused {}: 400", std::string(path.substr(0, 60)));
         }
@@ -179,7 +181,7 @@
     }
     open_[id] = request;
     ++it->second.open;
-    handler_(std::move(std::get<Input>(arrival)));
+    handler_(std::move(std::get<Input>(parsed)));
 }
 
 void HttpServer::answer(RequestId id, const protocol::HttpReply& reply) {
--- a/src/transport/process.cpp
+++ b/src/transport/process.cpp
@@ -117,7 +117,7 @@
             } else if constexpr (std::is_same_v<T, CloudRequest>) {
                 protocol::HttpCall http = protocol::encode(o);
                 cloud_->send(std::move(http), [this, call = o](int code, std::string_view body) {
-                    receive(protocol::decode_cloud(call, code, body, controller_.names()));
+                    receive(protocol::decode_cloud_response(call, code, body, controller_.names()));
                 });
             } else if constexpr (std::is_same_v<T, WorkerRequest>) {
                 call_worker(std::move(o));
@@ -143,7 +143,7 @@
     protocol::HttpCall http = protocol::encode(call);
     call.transaction = {};  // the answer is understood without it
     client->send(std::move(http), [this, call = std::move(call)](int code, std::string_view body) {
-        receive(protocol::decode_state(call, code, body));
+        receive(protocol::decode_store_response(call, code, body));
     });
 }
 
@@ -162,7 +162,7 @@
     it->second.used = now();
     it->second.client->send(protocol::encode(call),
                             [this, id = call.call](int code, std::string_view body) {
-                                receive(protocol::decode_worker(id, code, body));
+                                receive(protocol::decode_worker_response(id, code, body));
                             });
 }
 
