--- a/src/coordination/placement/class_capacity.cpp
+++ b/src/coordination/placement/class_capacity.cpp
@@ -7,7 +7,7 @@
 namespace walkford {
 
 namespace {
-constexpr Ms kProfileLifetime = 600000;  // no slots are kept for a class not seen for so long
+constexpr Ms kProfileLifetime = 600000;  // a class not seen for longer keeps no slots
 constexpr double kNoObjectiveS = 1e18;
 constexpr double kUnlimitedSlots = 1e9;
 
@@ -96,8 +96,8 @@
         if (lost <= 0 || free_slots_[i] - lost >= slots_to_keep) {
             continue;
         }
-        // Slots are kept only from jobs that can run elsewhere; and for classes with a tighter
-        // objective, or that can't.
+        // Only a job that can run elsewhere is kept away from the slots, and only for the benefit
+        // of a class that has a tighter objective or can't run elsewhere itself.
         if (!can_run_elsewhere(job.spec, other)) {
             continue;
         }
@@ -112,11 +112,11 @@
     return std::any_of(
         registered_groups_.begin(), registered_groups_.end(), [&](const MachineGroupKey& group) {
             const MachineType* machine_type = context_.cluster.machine_type(group.machine_type);
-            auto suits = [&](const JobSpec& candidate) {
+            auto has_slots = [&](const JobSpec& candidate) {
                 return ClusterState::slots(candidate, group.machine_type, group.zone, group.spot,
                                            machine_type->size) > 0;
             };
-            return machine_type && suits(spec) && !suits(other);
+            return machine_type && has_slots(spec) && !has_slots(other);
         });
 }
 
@@ -129,20 +129,22 @@
     return kNoObjectiveS;
 }
 
-void ClassCapacity::task_placed(const Machine& machine, const Resources& each) {
+void ClassCapacity::account_for_assignment(const Machine& machine,
+                                           const Resources& task_resources) {
     const ClusterState& cluster = context_.cluster;
     const MachineType* machine_type = cluster.machine_type(machine.machine_type);
     if (!machine_type) {
         return;
     }
     Resources free = machine_type->size - machine.used;
-    auto slots = [&machine](const JobSpec& spec, const Resources& room) {
-        return ClusterState::slots(spec, machine.machine_type, machine.zone, machine.spot, room);
+    auto slots = [&machine](const JobSpec& spec, const Resources& available) {
+        return ClusterState::slots(spec, machine.machine_type, machine.zone, machine.spot,
+                                   available);
     };
     for (std::size_t i = 0; i < free_slots_.size(); ++i) {
         const JobSpec& spec = cluster.job_class_profiles[i].spec;
         free_slots_[i] -= slots(spec, free);
-        free_slots_[i] += slots(spec, free - each);
+        free_slots_[i] += slots(spec, free - task_resources);
     }
 }
 
--- a/src/coordination/placement/gang_placement.cpp
+++ b/src/coordination/placement/gang_placement.cpp
@@ -18,7 +18,7 @@
       reservation_(reservation),
       round_(round) {}
 
-// A new attempt begins only after every task of the old one is gone.
+// A new attempt starts only after no task of the previous one is left on a machine.
 bool GangPlacement::may_start_attempt(const Job& job) const {
     const JobSpec& spec = job.spec;
     if (job.assigned > 0 || job.waiting() < spec.tasks - job.done) {
@@ -46,7 +46,8 @@
     job.next_unassigned = job.spec.tasks;
     reservation_.release(job_id);
     job.replace_by = -1;
-    spdlog::debug("{} attempt {}: all {} tasks placed", job.spec.id, attempt, job.spec.tasks);
+    spdlog::debug("job {} attempt {}: all {} gang members assigned", job.spec.id, attempt,
+                  job.spec.tasks);
     return true;
 }
 
@@ -56,10 +57,10 @@
     std::vector<Id> zones =
         gang_zones(spec, round_.free_capacity().groups(),
                    [](const FreeCapacity::MachineGroup& group) { return group.zone; });
-    // That a zone has too few slots is seen without trying it.
+    // Counting slots rules out zones that are too full without a trial placement.
     std::erase_if(zones, [&](Id zone) { return count_slots(job_id, zone) < spec.tasks; });
     if (zones.size() > 1) {
-        // The zone that the best machine for one task lies in is tried first.
+        // The zone of the best machine for a single task is tried first.
         Id best_machine = MachinePicker(round_, job_id, kNone).next();
         if (best_machine != kNone) {
             auto best = std::find(zones.begin(), zones.end(), cluster.machines[best_machine].zone);
@@ -111,7 +112,7 @@
             break;
         }
         round_.assign({job_id, placed}, machine, attempt, now);
-        picker.task_assigned();
+        picker.on_task_assigned();
     }
     if (placed == tasks) {
         return true;
@@ -149,7 +150,7 @@
     if (job.spec.tasks <= 1 || !lifecycle_.unbegun(job_id)) {
         return;
     }
-    // (A new leader finds gangs with members missing, and gives them the same time.)
+    // A new leader that finds a gang with missing members allows the same time to replace them.
     if (job.replace_by < 0) {
         job.replace_by = now + TaskLifecycle::kReplaceFor;
     }
@@ -161,15 +162,15 @@
             break;
         }
         std::uint32_t index = job.retry_queue.front();
-        // A member that has used a later attempt can't join this one.
+        // A member that has already used a later attempt can't join this one.
         if (cluster.task({job_id, index}).attempt > attempt) {
             break;
         }
         job.retry_queue.pop_front();
         round_.assign({job_id, index}, machine, attempt, now);
-        picker.task_assigned();
-        spdlog::debug("{}/{} attempt {} replaced on {}", job.spec.id, index, attempt,
-                      cluster.machines[machine].name);
+        picker.on_task_assigned();
+        spdlog::debug("task {}/{} attempt {}: lost gang member reassigned to machine {}",
+                      job.spec.id, index, attempt, cluster.machines[machine].name);
     }
     if (job.retry_queue.empty()) {
         job.replace_by = -1;
--- a/src/coordination/placement/gang_placement.hpp
+++ b/src/coordination/placement/gang_placement.hpp
@@ -1,4 +1,5 @@
-// Places gangs: all members at once or none, and members lost before their gang began.
+// Places gangs: all members at once or none. Also replaces members that are lost before their gang
+// has started.
 #pragma once
 
 #include "coordination/leader/leader_context.hpp"
@@ -9,32 +10,33 @@
 
 namespace walkford {
 
-// The placer's part for gangs; used within its rounds.
+// The part of the placer that handles gangs. Used only within a placement round.
 class GangPlacement {
   public:
-    // The references must outlive this.
+    // The references must outlive this object.
     GangPlacement(LeaderContext& context, TaskLifecycle& lifecycle,
                   const ZoneFailoverManager& zone_failover, GangReservation& reservation,
                   PlacementRound& round);
 
-    // Places a new attempt of the whole gang; false, with no member assigned, where it can't be
-    // now.
+    // Places all members of the gang with a new attempt. Returns false, with no member assigned, if
+    // the gang can't be placed now.
     bool place(Ms now, Id job);
-    // Places members lost before their gang began, with the attempt of those that wait for them;
-    // restarts the gang when that takes too long.
+    // Places members that were lost before their gang started, under the attempt of the members
+    // that wait for them. Restarts the gang if this takes longer than TaskLifecycle::kReplaceFor.
     void replace_members(Ms now, Id job);
 
   private:
     bool may_start_attempt(const Job& job) const;
-    // The zones with slots for the whole gang, the most promising first.
+    // The zones with slots for the whole gang (kNone for a gang that may span zones). The zone of
+    // the best machine for a single task comes first.
     std::vector<Id> zones_with_slots(Id job);
-    // The slots for members in the zone (kNone: any); counts no further than the gang's size.
+    // Counts the slots for members in the zone (kNone: in all zones), and stops at the gang's size.
     std::uint32_t count_slots(Id job, Id zone);
-    // Places all members in the zone, or none.
+    // Places all members in the zone (kNone: in any zones), or none.
     bool place_in_zone(Ms now, Id job, Id zone, std::uint32_t attempt);
-    // The latest attempt that any member has used.
+    // The highest attempt number that any member has used.
     std::uint32_t latest_attempt(Id job) const;
-    // The attempt of the members that wait on their machines.
+    // The attempt of the members that are assigned to machines and wait for the others.
     std::uint32_t waiting_attempt(Id job) const;
 
     LeaderContext& context_;
--- a/src/coordination/placement/gang_reservation.cpp
+++ b/src/coordination/placement/gang_reservation.cpp
@@ -11,16 +11,17 @@
 namespace walkford {
 
 namespace {
-constexpr Ms kReserveFor = 2500;  // renewed by every round that still finds the gang waiting
-// A plan looks at every task of every machine: the next for that gang waits as long as this one has
-// earned, on a small fleet not at all. (Plans a second old cost 0.12 of a busy day: what had become
-// free was reserved for nobody, and what was reserved was no longer needed.)
+constexpr Ms kReservationLifetime = 2500;  // each round that finds the gang waiting renews it
+// Planning examines every task of every machine, so the delay until the next plan for the same gang
+// grows with the number of tasks examined; on a small fleet it is zero. Acting on plans one second
+// old cost 0.12 of a busy day: newly freed capacity stayed unreserved, and reservations were held
+// that the gang no longer needed.
 constexpr std::size_t kExaminedTasksPerMs = 100;
-constexpr Ms kPreemptEvery = 1000;       // one gang at a time has tasks preempted for it
-constexpr Ms kWorthPreempting = 10000;   // ... and only to start so much sooner
-constexpr Ms kServiceEnd = 86400000;     // a replica runs until its job is cancelled
-constexpr Ms kReservedZoneBonus = 5000;  // a zone begun with is not left for less
-constexpr Ms kMinRemaining = 2000;       // of a task whose estimate is about to be over
+constexpr Ms kPreemptionInterval = 1000;    // tasks are preempted for one gang per interval
+constexpr Ms kMinPreemptionGain = 10000;    // a gang must gain more than this to preempt tasks
+constexpr Ms kServiceRemaining = 86400000;  // assumed: a replica runs until its job is cancelled
+constexpr Ms kReservedZoneBonus = 5000;     // lead that lets another zone be reserved instead
+constexpr Ms kMinRemaining = 2000;          // the least assumed for a task that is running
 }  // namespace
 
 GangReservation::GangReservation(LeaderContext& context, TaskLifecycle& lifecycle)
@@ -35,7 +36,7 @@
                to_ms(spec.checkpoint_duration_s + context_.controller.platform_settings.report_s);
     }
     if (spec.service()) {
-        return now + kServiceEnd;
+        return now + kServiceRemaining;
     }
     Ms estimate = to_ms(spec.estimate_s);
     if (task.running_since < 0) {
@@ -46,7 +47,8 @@
                              : 0;
         return now + estimate + to_ms(fetch_s);
     }
-    // Estimates are often wrong by half: one that has run longer than its own goes on for a while.
+    // Estimates are often wrong by half. A task that has exceeded its estimate is expected to run
+    // on for a third of the time that it has run so far.
     Ms ran = now - task.running_since;
     return now + std::max({kMinRemaining, estimate - ran, ran > estimate ? ran / 3 : 0});
 }
@@ -113,7 +115,7 @@
         if (plan.slots.size() == spec.tasks) {
             break;
         }
-        // A gang that must be spread can't use them all in one zone.
+        // A gang that must be spread over zones can use a limited number of slots in each.
         Id zone = context_.cluster.machines[slot.machine].zone;
         if (++slots_in_zone[zone] > spec.zone_most()) {
             continue;
@@ -183,7 +185,7 @@
 bool GangReservation::may_preempt_now(Ms now, const Job& job) const {
     const OperatorSettings& settings = context_.controller.operator_settings;
     return settings.preempt && now >= job.waiting_since + to_ms(settings.preempt_after_s) &&
-           now >= preempted_at_ + kPreemptEvery;
+           now >= preempted_at_ + kPreemptionInterval;
 }
 
 bool GangReservation::reserve(Ms now, Id job_id, const std::vector<Id>& schedulable,
@@ -198,7 +200,7 @@
     bool preempting = false;
     if (may_preempt_now(now, job)) {
         std::optional<Plan> sooner = best_plan(now, job_id, schedulable, &may_preempt);
-        if (sooner && (!best || sooner->ready_at + kWorthPreempting < best->ready_at)) {
+        if (sooner && (!best || sooner->ready_at + kMinPreemptionGain < best->ready_at)) {
             best = std::move(sooner);
             preempting = true;
         }
@@ -206,7 +208,10 @@
     job.reserve_at = now + static_cast<Ms>(examined_tasks_ / kExaminedTasksPerMs);
     release(job_id);
     if (!best) {
-        spdlog::debug("{}: no zone could hold its {} tasks", job.spec.id, job.spec.tasks);
+        spdlog::debug(
+            "job {}: no machines reserved: too few slots for its {} gang members, "
+            "even after running tasks end",
+            job.spec.id, job.spec.tasks);
         return false;
     }
     reserve_machines(now, job_id, *best);
@@ -219,13 +224,15 @@
 
 void GangReservation::reserve_machines(Ms now, Id job, const Plan& plan) {
     ClusterState& cluster = context_.cluster;
-    spdlog::debug("{}: machines reserved in {}, ready in {:.1f} s", cluster.jobs[job].spec.id,
-                  cluster.names.zones.name(cluster.machines[plan.slots.front().machine].zone),
-                  static_cast<double>(plan.ready_at - now) / 1000.0);
+    spdlog::debug(
+        "job {}: machines reserved for its gang, the first in zone {}; all ready in {:.1f} s",
+        cluster.jobs[job].spec.id,
+        cluster.names.zones.name(cluster.machines[plan.slots.front().machine].zone),
+        static_cast<double>(plan.ready_at - now) / 1000.0);
     for (const Slot& slot : plan.slots) {
         MachineReservation& reservation = cluster.machines[slot.machine].reservation;
         reservation.job = job;
-        reservation.until = now + kReserveFor;
+        reservation.until = now + kReservationLifetime;
         reservation.ready_at = plan.ready_at;
     }
 }
@@ -258,8 +265,9 @@
     }
     preempted_at_ = now;
     if (preempted > 0) {
-        spdlog::info("{} preempts for {} tasks on {} machines: {} tasks stopped", job.spec.id,
-                     job.spec.tasks, needed_slots.size(), preempted);
+        spdlog::info(
+            "job {}: preempting for its {} gang members on {} machines: {} tasks being stopped",
+            job.spec.id, job.spec.tasks, needed_slots.size(), preempted);
     }
 }
 
--- a/src/coordination/placement/machine_picker.cpp
+++ b/src/coordination/placement/machine_picker.cpp
@@ -7,20 +7,20 @@
 MachinePicker::MachinePicker(PlacementRound& round, Id job_id, Id zone)
     : round_(round), job_(job_id) {
     const Job& job = round.job(job_id);
-    const Resources& each = job.spec.each;
+    const Resources& task_resources = job.spec.each;
     const std::vector<FreeCapacity::MachineGroup>& groups = round.free_capacity().groups();
     for (std::uint32_t i = 0; i < groups.size(); ++i) {
         const FreeCapacity::MachineGroup& group = groups[i];
         if (zone != kNone && group.zone != zone) {
             continue;
         }
-        if (!each.fits_in(group.largest_free) || !round.scorer().admits(job_id, group)) {
+        if (!task_resources.fits_in(group.largest_free) || !round.scorer().admits(job_id, group)) {
             continue;
         }
         round.count_examined(group.machines.size());
         for (std::uint32_t k = 0; k < group.machines.size(); ++k) {
             const FreeCapacity::MachineCapacity& capacity = group.machines[k];
-            if (each.fits_in(capacity.free)) {
+            if (task_resources.fits_in(capacity.free)) {
                 heap_.push_back({MachineScorer::best_possible_score(job, group, capacity), i, k});
             }
         }
@@ -55,7 +55,7 @@
     return kNone;
 }
 
-// (Its image may be on its way now, so the same machine may have become a better choice.)
-void MachinePicker::task_assigned() { rescore_top(); }
+// The score can also improve: the assigned task may have started to fetch the job's image there.
+void MachinePicker::on_task_assigned() { rescore_top(); }
 
 }  // namespace walkford
--- a/src/coordination/placement/machine_picker.hpp
+++ b/src/coordination/placement/machine_picker.hpp
@@ -9,28 +9,30 @@
 
 namespace walkford {
 
-// The machines in the order in which tasks of one job try them. A machine is scored only as it
-// comes to the top: its score can but get worse while others are filled, so one whose first, too
-// good score is corrected when its turn comes gives the same choice as scoring them all each time.
+// A priority queue of the machines that the tasks of one job may be assigned to. Machines start
+// with the best score they can have, and are scored in full only when they reach the top. A
+// machine's score can only get worse while other machines are filled, so this lazy evaluation picks
+// the same machine as scoring all of them each time.
 class MachinePicker {
   public:
-    // `zone`: the only one to pick from, or kNone. The round must outlive the picker.
+    // Picks from the machines in `zone`, or from all with kNone. The round must outlive the picker.
     MachinePicker(PlacementRound& round, Id job, Id zone);
-    // The best machine for the next task; kNone if none fits.
+    // Returns the best machine for the next task; kNone if none fits.
     Id next();
-    // A task was assigned to the machine that next() returned last.
-    void task_assigned();
+    // Must be called after a task is assigned to the machine that next() returned last.
+    void on_task_assigned();
 
   private:
     struct Entry {
         MachineScore score;
         std::uint32_t group = 0;
         std::uint32_t index = 0;  // of the machine in its group
-        // The standard heap has the greatest on top; the least score is wanted there.
+        // Reversed: the standard heap keeps its greatest entry on top, and the lowest score is
+        // best.
         bool operator<(const Entry& other) const { return other.score < score; }
     };
-    // Scores the machine on top, and moves it to its place; drops it, and returns nothing, where no
-    // task can go there any more.
+    // Scores the machine on top and restores the heap order. Removes the machine and returns
+    // nullopt if it can take no further task of the job.
     std::optional<MachineScore> rescore_top();
 
     PlacementRound& round_;
--- a/src/coordination/placement/machine_scorer.cpp
+++ b/src/coordination/placement/machine_scorer.cpp
@@ -7,8 +7,8 @@
 namespace walkford {
 
 namespace {
-constexpr double kEstimateSlack = 1.5;  // estimates are often wrong by half
-constexpr double kStartDelayStepS = 2;  // delays that differ by less count as equal
+constexpr double kEstimateSlackFactor = 1.5;  // estimates are often wrong by half
+constexpr double kStartDelayStepS = 2;        // smaller differences are ignored
 }  // namespace
 
 MachineScorer::MachineScorer(LeaderContext& context, const ZoneFailoverManager& zone_failover,
@@ -45,14 +45,14 @@
     if (machine_type->fetch_gb_per_s <= 0) {
         return 0;
     }
-    // Images fetched at the same time share the rate.
+    // Concurrent image fetches share the machine's fetch rate.
     int fetches = 1 + context_.cluster.image_fetches_in_progress(machine);
     return spec.image_gb / machine_type->fetch_gb_per_s * fetches;
 }
 
-bool MachineScorer::over_before_reservation(const JobSpec& spec, const Machine& machine,
+bool MachineScorer::ends_before_reservation(const JobSpec& spec, const Machine& machine,
                                             double fetch_s) const {
-    double span = fetch_s + kEstimateSlack * spec.estimate_s +
+    double span = fetch_s + kEstimateSlackFactor * spec.estimate_s +
                   2 * context_.controller.platform_settings.report_s;
     return !spec.starts_together() && spec.estimate_s > 0 &&
            now_ + to_ms(span) <= machine.reservation.ready_at;
@@ -81,16 +81,17 @@
     if (machine.reservation.job == job_id) {
         return false;
     }
-    if (machine.reservation.job != kNone && !over_before_reservation(job.spec, machine, fetch_s)) {
+    if (machine.reservation.job != kNone && !ends_before_reservation(job.spec, machine, fetch_s)) {
         return true;
     }
-    // (Not from services: a replica that may be in one zone only, as its job is spread, waited for
-    // ever for the slots reserved there. They are few, and wanted at once.)
+    // Services are exempt: a replica that could run in one zone only, because its job is spread,
+    // waited forever for slots kept there for other classes. Replicas are few and needed at once.
     return !job.spec.service() && class_capacity_.reserved_for_others(job, group, capacity.free);
 }
 
-// The order in which machines are tried: where this job hasn't failed, where the task starts
-// soonest and other classes lose the fewest slots, spot first for those who may, then the fullest.
+// Prefers, in this order, machines on which neither this job nor recently others failed; an early
+// start at a low cost to other job classes; spot machines for jobs that may use them; and the
+// machine with the smallest free share of cores.
 std::optional<MachineScore> MachineScorer::score(
     Id job_id, const FreeCapacity::MachineGroup& group,
     const FreeCapacity::MachineCapacity& capacity) const {
@@ -118,7 +119,7 @@
                                                 const FreeCapacity::MachineCapacity& capacity) {
     MachineScore score;
     score.failed = capacity.recently_failed || job.failed_on.count(capacity.machine) ? 1 : 0;
-    score.forgoes_spot = job.spec.spot && !group.spot ? 1 : 0;
+    score.on_demand_for_spot_job = job.spec.spot && !group.spot ? 1 : 0;
     score.free_share = group.size.cpus > 0 ? capacity.free.cpus / group.size.cpus : 0;
     score.machine = capacity.machine;
     return score;
--- a/src/coordination/placement/placement_round.hpp
+++ b/src/coordination/placement/placement_round.hpp
@@ -1,5 +1,5 @@
-// What one round of placement works on: the free capacity as it is filled, what the job classes
-// have left of it, and the scores of machines.
+// The state of one placement round: the remaining free capacity, the free slots of each job class,
+// and the machine scorer.
 #pragma once
 
 #include "bookkeeping/free_capacity.hpp"
@@ -10,7 +10,7 @@
 
 namespace walkford {
 
-// Owned by the placer and shared with its parts. Everything that a round assigns goes through it.
+// Owned by the placer and shared with its parts. All assignments of a round are made through it.
 class PlacementRound {
   public:
     // The references must outlive the round.
@@ -19,25 +19,25 @@
     PlacementRound(const PlacementRound&) = delete;
     PlacementRound& operator=(const PlacementRound&) = delete;
 
-    // Begins a round with the machines named.
+    // Begins a round on the schedulable machines.
     void begin(Ms now, const std::vector<Id>& schedulable);
-    // Assigns the task to the machine, in the cluster state and in what the round knows of it.
+    // Assigns the task to the machine, and updates the cluster state and the state of the round.
     void assign(TaskRef task, Id machine, std::uint32_t attempt, Ms now);
-    // Takes back an assignment of this round; the task has used `attempt` attempts.
+    // Reverts an assignment of this round, and resets the task's attempt number to `attempt`.
     void revert(TaskRef task, std::uint32_t attempt);
 
     // A job of the cluster state.
     const Job& job(Id id) const { return context_.cluster.jobs[id]; }
-    // What the machines have free, after what was assigned in this round.
+    // The free capacity that is left after the assignments of this round.
     const FreeCapacity& free_capacity() const { return free_capacity_; }
-    // What the job classes have left of it.
+    // The free slots of the job classes in that capacity.
     const ClassCapacity& class_capacity() const { return class_capacity_; }
-    // Filters and scores machines as of this round.
+    // The machine scorer of this round.
     const MachineScorer& scorer() const { return scorer_; }
 
-    // Counts work done, which bounds a round where no clock is to decide.
+    // Adds to the count of examined machines, which bounds a round independently of the clock.
     void count_examined(std::size_t machines) { examined_machines_ += machines; }
-    // How many times a machine was examined in this round.
+    // The number of machine examinations in this round; a machine may count several times.
     std::size_t examined_machines() const { return examined_machines_; }
 
   private:
--- a/src/coordination/placement/placer.cpp
+++ b/src/coordination/placement/placer.cpp
@@ -10,14 +10,15 @@
 namespace walkford {
 
 namespace {
-constexpr Ms kRoundEvery = 400;
-// Rounds share what many heartbeats bring within so long: with two thousand machines one was begun
-// at almost every heartbeat, and examined all of them each time.
-constexpr Ms kRoundSpacing = 50;
-// A round ends after so many looks at a machine, if its time isn't spent before.
+constexpr Ms kRoundInterval = 400;
+// The minimum time between rounds, so that one round serves many heartbeats. Without it, on a fleet
+// of two thousand machines almost every heartbeat began a round that examined all of them.
+constexpr Ms kMinRoundSpacing = 50;
+// A round ends after this many machine examinations, if its time budget isn't spent earlier.
 constexpr std::size_t kMaxExaminedMachines = 400000;
-// Placements not yet written are bounded: more would only wait for the state service.
-constexpr std::uint32_t kMaxTasksPerJob = 256;  // in one round
+// The most tasks of one job that are assigned in a round. This bounds the assignments that are not
+// written yet: more of them would only wait for the store.
+constexpr std::uint32_t kMaxTasksPerJob = 256;
 
 std::uint32_t take_next_task(Job& job) {
     if (job.retry_queue.empty()) {
@@ -41,12 +42,12 @@
     if (!context_.place_now && now < next_round_at_) {
         return false;
     }
-    if (now < last_round_at_ + kRoundSpacing) {
+    if (now < last_round_at_ + kMinRoundSpacing) {
         return false;
     }
     last_round_at_ = now;
     context_.place_now = false;
-    next_round_at_ = now + kRoundEvery;
+    next_round_at_ = now + kRoundInterval;
     return !context_.cluster.machine_types().empty();
 }
 
@@ -61,7 +62,7 @@
     }
     round_.begin(now, schedulable);
     if (zone_failover_.restricts()) {
-        // Nothing is reserved or preempted in a zone that work comes back to slowly.
+        // Nothing is reserved or preempted in a zone that is not open: work returns to it slowly.
         std::erase_if(schedulable, [&](Id machine) {
             return !zone_failover_.open(context_.cluster.machines[machine].zone);
         });
@@ -106,14 +107,15 @@
 }
 
 void Placer::place_waiting_jobs(Ms now, const std::vector<Id>& schedulable) {
-    // The budget keeps heartbeats and leases answered in time when thousands of jobs wait.
+    // The time budget lets the controller answer heartbeats and renew leases in time while
+    // thousands of jobs wait.
     Ms deadline = context_.controller.stopwatch() +
                   to_ms(context_.controller.operator_settings.round_budget_ms);
     while (cursor_ < order_.size()) {
         place_job(now, order_[cursor_++], schedulable);
-        bool spent = round_.examined_machines() > kMaxExaminedMachines ||
-                     context_.controller.stopwatch() >= deadline;
-        if (spent && cursor_ < order_.size()) {
+        bool budget_spent = round_.examined_machines() > kMaxExaminedMachines ||
+                            context_.controller.stopwatch() >= deadline;
+        if (budget_spent && cursor_ < order_.size()) {
             context_.place_now = true;
             break;
         }
@@ -129,11 +131,12 @@
     if (!job.alive || job.cancelled || job.ending || job.waiting() == 0) {
         return;
     }
-    // The priority it has risen to it keeps, or it would be preempted as soon as it began.
+    // A job keeps the priority that it has reached by aging; otherwise its tasks would be preempted
+    // as soon as they start.
     job.aged_priority = std::max(job.aged_priority, round_.scorer().aged_priority(job_id));
     if (job.spec.gang() && job.assigned > 0) {
-        // Not blocked by a job that waits for the quota: that one may be waiting for what this gang
-        // occupies, and the two would wait for each other for ever.
+        // Quota blocks don't apply here: a job that waits for quota may need what this gang
+        // occupies, and the two would deadlock.
         gang_placement_.replace_members(now, job_id);
         return;
     }
@@ -147,8 +150,9 @@
     }
 }
 
-// Who comes first waits for its team's quota; smaller tasks of the team that come later would take
-// every bit of it that frees up, and a large one would starve.
+// A job that lacks quota blocks jobs of the same team that are served after it, at the same or a
+// lower priority. Otherwise their smaller tasks would take all the quota that becomes free, and a
+// large task would starve.
 bool Placer::blocked_by_quota(Id job_id) {
     const ClusterState& cluster = context_.cluster;
     const JobSpec& spec = cluster.jobs[job_id].spec;
@@ -163,7 +167,7 @@
         return false;
     }
     if (zone_failover_.waits_for_zone(job_id)) {
-        return true;  // it could not begin anyway, and blocks nobody
+        return true;  // the job can't start anyway, so it must not block others
     }
     if (cluster.quota_headroom(spec.team, {spec.each.cpus, 0, 0}) < needed) {
         block.cpus = std::max(block.cpus, priority);
@@ -188,8 +192,8 @@
         }
         TaskRef ref{job_id, take_next_task(job)};
         round_.assign(ref, machine, cluster.task(ref).attempt + 1, now);
-        picker.task_assigned();
-        spdlog::debug("{}/{} attempt {} assigned to {}", job.spec.id, ref.task,
+        picker.on_task_assigned();
+        spdlog::debug("task {}/{} attempt {} assigned to machine {}", job.spec.id, ref.task,
                       cluster.task(ref).attempt, cluster.machines[machine].name);
     }
 }
--- a/src/coordination/placement/preemption.cpp
+++ b/src/coordination/placement/preemption.cpp
@@ -9,14 +9,14 @@
 namespace walkford {
 
 namespace {
-constexpr Ms kTick = 500;
-constexpr int kMaxJobsTried = 8;   // jobs that look for tasks to preempt, in one tick
-constexpr int kMaxJobsHelped = 2;  // jobs that room is made for, in one tick
+constexpr Ms kTickInterval = 500;
+constexpr int kMaxJobsTried = 8;   // jobs that search for victims, in one tick
+constexpr int kMaxJobsServed = 2;  // jobs that tasks are preempted for, in one tick
 constexpr Ms kMoveReplicasAfter = 60000;
-constexpr double kStopGraceSlackS = 1;  // beyond the time that a checkpoint takes
-constexpr Ms kReservationSlack = 3000;  // beyond the time until the victims are reported gone
-constexpr double kNearlyOver = 0.8;     // of the estimate
-constexpr double kFixedCost = 1;        // of any preemption, in seconds of work
+constexpr double kStopGraceSlackS = 1;       // added to the checkpoint duration
+constexpr Ms kReservationSlack = 3000;       // added to the time until the victims' end is reported
+constexpr double kNearlyDoneShare = 0.8;     // share of the estimate
+constexpr double kFixedPreemptionCostS = 1;  // of each preemption
 }  // namespace
 
 Preemption::Preemption(LeaderContext& context, TaskLifecycle& lifecycle,
@@ -28,10 +28,10 @@
     lifecycle.stop(task, grace_s, now, true);
 }
 
-// A replica never frees its slot by itself: for work that has waited long it is preempted, to run
-// again elsewhere. (Three replicas on one of a zone's four small machines kept a gang of four from
-// ever beginning.)
-bool Preemption::may_move(Ms now, const Job& victim, const Job& job) {
+// A service replica never frees its slot by itself, so it may be preempted, to run again elsewhere,
+// for a job that has waited long. Without this, three replicas on one of a zone's four small
+// machines kept a gang of four from ever starting.
+bool Preemption::may_move_replicas(Ms now, const Job& victim, const Job& job) {
     return victim.spec.service() && !job.spec.service() &&
            now >= job.waiting_since + kMoveReplicasAfter;
 }
@@ -41,18 +41,19 @@
     if (victim.spec.starts_together()) {
         return false;
     }
-    if (may_move(now, victim, job)) {
+    if (may_move_replicas(now, victim, job)) {
         return true;
     }
     if (victim.effective_priority() >= static_cast<int>(job.spec.priority)) {
         return false;
     }
-    // What a team runs within its guaranteed share need not make room for others.
+    // Work of a team that is within its guaranteed share is not preempted for other teams.
     if (victim.spec.team != job.spec.team &&
         cluster.within_guaranteed_share(victim.spec.team, Resources{})) {
         return false;
     }
-    // Work that can run nowhere else only loses, unless it has no objective on its start latency.
+    // A victim that can run nowhere else would only lose its progress; it is preempted only if its
+    // start latency objective is looser than the job's. Having no objective counts as the loosest.
     return class_capacity_.can_run_elsewhere(victim.spec, job.spec) ||
            class_capacity_.start_objective_s(victim.spec) >
                class_capacity_.start_objective_s(job.spec);
@@ -60,7 +61,7 @@
 
 bool Preemption::outranks(Ms now, const Job& job, const Job& victim, bool guaranteed) const {
     if (victim.effective_priority() < static_cast<int>(job.spec.priority) ||
-        may_move(now, victim, job)) {
+        may_move_replicas(now, victim, job)) {
         return true;
     }
     const ClusterState& cluster = context_.cluster;
@@ -68,23 +69,24 @@
            !cluster.within_guaranteed_share(victim.spec.team, Resources{});
 }
 
-// Work that can run nowhere else would only lose what it was doing.
+// A victim that can run nowhere else would only lose its progress.
 bool Preemption::may_be_victim(Ms now, const Job& victim, const Job& job, bool guaranteed) const {
     return outranks(now, job, victim, guaranteed) &&
            class_capacity_.can_run_elsewhere(victim.spec, job.spec);
 }
 
-// A waiting job that could preempt none of these need not look at two thousand machines.
-void Preemption::find_running_jobs() {
+// A waiting job that may preempt none of these jobs is spared the search over all machines, of
+// which there may be two thousand.
+void Preemption::find_preemptible_jobs() {
     const ClusterState& cluster = context_.cluster;
-    running_jobs_.clear();
+    preemptible_jobs_.clear();
     for (Id id = 0; id < cluster.jobs.size(); ++id) {
         const Job& job = cluster.jobs[id];
         if (!job.alive || job.assigned == 0 || job.spec.starts_together()) {
             continue;
         }
         auto [lowest, inserted] =
-            running_jobs_.try_emplace({job.spec.job_class, job.spec.team}, id);
+            preemptible_jobs_.try_emplace({job.spec.job_class, job.spec.team}, id);
         if (!inserted &&
             job.effective_priority() < cluster.jobs[lowest->second].effective_priority()) {
             lowest->second = id;
@@ -92,7 +94,7 @@
     }
 }
 
-bool Preemption::wants_room(Ms now, Id job_id) const {
+bool Preemption::needs_preemption(Ms now, Id job_id) const {
     const ClusterState& cluster = context_.cluster;
     const Job& job = cluster.jobs[job_id];
     const JobSpec& spec = job.spec;
@@ -107,43 +109,43 @@
     }
     bool guaranteed = cluster.within_guaranteed_share(spec.team, spec.each);
     bool any_victim =
-        std::any_of(running_jobs_.begin(), running_jobs_.end(), [&](const auto& entry) {
+        std::any_of(preemptible_jobs_.begin(), preemptible_jobs_.end(), [&](const auto& entry) {
             return may_be_victim(now, cluster.jobs[entry.second], job, guaranteed);
         });
     if (!any_victim) {
         return false;
     }
-    // Not where room is being made for it already.
+    // A machine reserved for the job means that tasks are already being preempted for it.
     return std::none_of(cluster.machines.begin(), cluster.machines.end(),
                         [&](const Machine& machine) { return machine.reservation.job == job_id; });
 }
 
-// Few jobs are tried in one tick; the next goes on where this one stopped.
+// Each tick tries a limited number of jobs; the next continues after the last one considered.
 void Preemption::tick(Ms now, const std::vector<Id>& order, const std::vector<Id>& schedulable) {
     if (now < next_tick_at_) {
         return;
     }
-    next_tick_at_ = now + kTick;
-    find_running_jobs();
-    if (running_jobs_.empty()) {
+    next_tick_at_ = now + kTickInterval;
+    find_preemptible_jobs();
+    if (preemptible_jobs_.empty()) {
         return;
     }
     if (cursor_ >= order.size()) {
         cursor_ = 0;
     }
-    int helped = 0;
+    int served = 0;
     int tried = 0;
-    for (std::size_t i = 0; i < order.size() && helped < kMaxJobsHelped && tried < kMaxJobsTried;
+    for (std::size_t i = 0; i < order.size() && served < kMaxJobsServed && tried < kMaxJobsTried;
          ++i) {
         Id job = order[cursor_];
         cursor_ = (cursor_ + 1) % order.size();
-        if (wants_room(now, job)) {
+        if (needs_preemption(now, job)) {
             ++tried;
-            helped += make_room(now, job, schedulable);
+            served += preempt_for(now, job, schedulable);
         }
     }
-    if (helped < kMaxJobsHelped && tried < kMaxJobsTried) {
-        cursor_ = 0;  // all were looked at
+    if (served < kMaxJobsServed && tried < kMaxJobsTried) {
+        cursor_ = 0;  // all jobs were considered
     }
 }
 
@@ -171,10 +173,11 @@
     const Task& task = context_.cluster.task(ref);
     double ran_s =
         task.running_since < 0 ? 0 : static_cast<double>(now - task.running_since) / 1000.0;
-    double cost =
-        kFixedCost + (spec.checkpoint_interval_s > 0 ? spec.checkpoint_duration_s : ran_s);
-    // One that is nearly over frees its slot by itself.
-    if (task.running_since >= 0 && spec.estimate_s > 0 && ran_s > kNearlyOver * spec.estimate_s) {
+    double cost = kFixedPreemptionCostS +
+                  (spec.checkpoint_interval_s > 0 ? spec.checkpoint_duration_s : ran_s);
+    // Preempting a task that is nearly done gains little, since it soon frees its slot by itself.
+    if (task.running_since >= 0 && spec.estimate_s > 0 &&
+        ran_s > kNearlyDoneShare * spec.estimate_s) {
         cost += spec.checkpoint_duration_s;
     }
     return cost;
@@ -202,51 +205,51 @@
     return victims;
 }
 
-Preemption::Choice Preemption::choose_victims(const Job& job, Id machine_id,
-                                              const std::vector<Victim>& victims) const {
+Preemption::Plan Preemption::choose_victims(const Job& job, Id machine_id,
+                                            const std::vector<Victim>& victims) const {
     const ClusterState& cluster = context_.cluster;
     const Machine& machine = cluster.machines[machine_id];
     Resources free = cluster.machine_type(machine.machine_type)->size - machine.used;
-    Choice choice;
-    std::map<Id, Resources> taken;  // by team: none is pushed below its guaranteed share
+    Plan plan;
+    std::map<Id, Resources> preempted_by_team;  // by team; none may fall below its guaranteed share
     for (const Victim& candidate : victims) {
         if (job.spec.each.fits_in(free)) {
             break;
         }
         const JobSpec& victim = cluster.jobs[candidate.task.job].spec;
-        Resources& taken_from_team = taken[victim.team];
+        Resources& preempted_of_team = preempted_by_team[victim.team];
         if (victim.priority >= job.spec.priority &&
-            cluster.within_guaranteed_share(victim.team, Resources{} - taken_from_team)) {
+            cluster.within_guaranteed_share(victim.team, Resources{} - preempted_of_team)) {
             continue;
         }
-        taken_from_team += victim.each;
+        preempted_of_team += victim.each;
         free += victim.each;
-        choice.cost += candidate.cost;
-        choice.victims.push_back(candidate.task);
+        plan.cost += candidate.cost;
+        plan.victims.push_back(candidate.task);
     }
     if (!job.spec.each.fits_in(free)) {
         return {};
     }
-    choice.machine = machine_id;
-    return choice;
+    plan.machine = machine_id;
+    return plan;
 }
 
-bool Preemption::make_room(Ms now, Id job_id, const std::vector<Id>& schedulable) {
+bool Preemption::preempt_for(Ms now, Id job_id, const std::vector<Id>& schedulable) {
     const ClusterState& cluster = context_.cluster;
     const Job& job = cluster.jobs[job_id];
     Request request{job_id, cluster.within_guaranteed_share(job.spec.team, job.spec.each), {}};
-    Choice best;
+    Plan best;
     for (Id machine : schedulable) {
         if (!may_host(job, machine)) {
             continue;
         }
-        Choice choice =
+        Plan plan =
             choose_victims(job, machine, find_victims(now, request, cluster.machines[machine]));
-        if (choice.victims.empty()) {
+        if (plan.victims.empty()) {
             continue;
         }
-        if (best.machine == kNone || choice.cost < best.cost) {
-            best = std::move(choice);
+        if (best.machine == kNone || plan.cost < best.cost) {
+            best = std::move(plan);
         }
     }
     if (best.machine == kNone) {
@@ -256,22 +259,22 @@
     return true;
 }
 
-// The machine is reserved for the job that the victims make room for.
-void Preemption::preempt(Ms now, Id job_id, const Choice& choice) {
+// Reserves the machine for the job until the victims have ended, and stops the victims.
+void Preemption::preempt(Ms now, Id job_id, const Plan& plan) {
     ClusterState& cluster = context_.cluster;
-    Machine& machine = cluster.machines[choice.machine];
+    Machine& machine = cluster.machines[plan.machine];
     double checkpoint_s = 0;
-    for (TaskRef ref : choice.victims) {
+    for (TaskRef ref : plan.victims) {
         checkpoint_s = std::max(checkpoint_s, cluster.jobs[ref.job].spec.checkpoint_duration_s);
     }
-    spdlog::info("{} preempts on {}: {} tasks stopped", cluster.jobs[job_id].spec.id, machine.name,
-                 choice.victims.size());
+    spdlog::info("job {}: preempting on machine {}: {} tasks being stopped",
+                 cluster.jobs[job_id].spec.id, machine.name, plan.victims.size());
     machine.reservation.job = job_id;
     machine.reservation.until =
         now + to_ms(checkpoint_s + 2 * context_.controller.platform_settings.report_s) +
         kReservationSlack;
     machine.reservation.ready_at = now;
-    for (TaskRef ref : choice.victims) {
+    for (TaskRef ref : plan.victims) {
         preempt_task(cluster, lifecycle_, ref, now);
     }
 }
--- a/src/coordination/placement/preemption.hpp
+++ b/src/coordination/placement/preemption.hpp
@@ -1,5 +1,5 @@
-// Preempts tasks to make room for work of higher priority, for a team within its guaranteed share,
-// or for work that has waited long beside replicas that never end.
+// Preempts tasks in favor of jobs of higher priority, of a team within its guaranteed share, or of
+// jobs that have waited long for capacity held by service replicas, which never end by themselves.
 #pragma once
 
 #include <compare>
@@ -10,20 +10,21 @@
 
 namespace walkford {
 
-// Stops a task to make room for other work: it gets the time to write its checkpoint, and the stop
-// counts neither against its job nor against the machine.
+// Stops a task in favor of other work. The task gets time to write a checkpoint, and the stop
+// counts as a failure neither of its job nor of the machine.
 void preempt_task(const ClusterState& cluster, TaskLifecycle& lifecycle, TaskRef task, Ms now);
 
-// Makes room for jobs of independent tasks, and says what may be preempted for gangs (which reserve
-// machines by GangReservation).
+// Preempts tasks for jobs whose own tasks are independent of each other, and decides which tasks
+// may be preempted for gangs. GangReservation carries out the preemption for gangs.
 class Preemption {
   public:
-    // The references must outlive this.
+    // The references must outlive this object.
     Preemption(LeaderContext& context, TaskLifecycle& lifecycle,
                const ClassCapacity& class_capacity);
 
-    // Called after each round of placement, with the waiting jobs in their order and the machines
-    // that may be preempted on; does nothing until the next tick is due.
+    // Called after each placement round. `order`: the waiting jobs in the order in which they are
+    // served; `schedulable`: the machines on which tasks may be preempted. Does nothing until the
+    // next tick is due.
     void tick(Ms now, const std::vector<Id>& order, const std::vector<Id>& schedulable);
     // Whether a task of `victim` may be preempted for the gang `job`.
     bool may_preempt(Ms now, const Job& victim, const Job& job) const;
@@ -35,50 +36,55 @@
         auto operator<=>(const ClassAndTeam&) const = default;
     };
     struct Victim {
-        double cost = 0;  // seconds of work lost
+        double cost = 0;  // in seconds of lost work
         TaskRef task;
         auto operator<=>(const Victim&) const = default;
     };
-    // Tasks whose end makes room on one machine.
-    struct Choice {
+    // The tasks to preempt on one machine so that a task of the requesting job fits.
+    struct Plan {
         Id machine = kNone;
         double cost = 0;
         std::vector<TaskRef> victims;
     };
-    // The job that room is made for, and what was found out about others on its behalf.
+    // The job that needs capacity, with a cache of which jobs may be preempted for it.
     struct Request {
         Id job = kNone;
-        bool guaranteed = false;           // it lies within its team's guaranteed share
-        std::map<Id, bool> may_be_victim;  // by job
+        bool guaranteed = false;           // within its team's guaranteed share
+        std::map<Id, bool> may_be_victim;  // cached, by job
     };
 
-    // A replica of the victim may be moved for the job.
-    static bool may_move(Ms now, const Job& victim, const Job& job);
-    // The job goes before the victim, by priority or by its team's guaranteed share.
+    // Whether replicas of the victim may be preempted, to run elsewhere, for a job that has waited
+    // long.
+    static bool may_move_replicas(Ms now, const Job& victim, const Job& job);
+    // Whether the job takes precedence over the victim by priority, by its team's guaranteed share,
+    // or by may_move_replicas().
     bool outranks(Ms now, const Job& job, const Job& victim, bool guaranteed) const;
-    // The victim's work may make room for the job, and can run elsewhere.
+    // Whether the job outranks the victim and the victim can run elsewhere.
     bool may_be_victim(Ms now, const Job& victim, const Job& job, bool guaranteed) const;
 
-    void find_running_jobs();
-    // The job waits, has waited long enough, and some running job could make room for it.
-    bool wants_room(Ms now, Id job) const;
-    // Preempts tasks on the machine where that costs least; false if it helps nowhere.
-    bool make_room(Ms now, Id job, const std::vector<Id>& schedulable);
+    void find_preemptible_jobs();
+    // Whether the job has waited long enough to preempt others and some running job may be
+    // preempted for it.
+    bool needs_preemption(Ms now, Id job) const;
+    // Preempts tasks on the machine where this costs least. Returns false if no machine would have
+    // enough capacity.
+    bool preempt_for(Ms now, Id job, const std::vector<Id>& schedulable);
     bool may_host(const Job& job, Id machine) const;
-    // The tasks on the machine that may be preempted, the cheapest first.
+    // The tasks on the machine that may be preempted for the request, the cheapest first.
     std::vector<Victim> find_victims(Ms now, Request& request, const Machine& machine) const;
     double preemption_cost(Ms now, TaskRef task) const;
-    // The victims that have to go for a task of the job; none if that isn't enough.
-    Choice choose_victims(const Job& job, Id machine, const std::vector<Victim>& victims) const;
-    void preempt(Ms now, Id job, const Choice& choice);
+    // Selects the victims to preempt so that a task of the job fits; none if all of them would not
+    // be enough.
+    Plan choose_victims(const Job& job, Id machine, const std::vector<Victim>& victims) const;
+    void preempt(Ms now, Id job, const Plan& plan);
 
     LeaderContext& context_;
     TaskLifecycle& lifecycle_;
     const ClassCapacity& class_capacity_;
     Ms next_tick_at_ = 0;
-    std::size_t cursor_ = 0;  // into the order of waiting jobs
-    // One job of each class and team with tasks that could be preempted, of the lowest priority.
-    std::map<ClassAndTeam, Id> running_jobs_;
+    std::size_t cursor_ = 0;  // index into the order of waiting jobs
+    // For each class and team, the job of the lowest priority that has preemptible tasks.
+    std::map<ClassAndTeam, Id> preemptible_jobs_;
 };
 
 }  // namespace walkford
--- a/src/coordination/placement/waiting_order.cpp
+++ b/src/coordination/placement/waiting_order.cpp
@@ -7,21 +7,22 @@
 namespace {
 constexpr int kMaxAgedPriority = 4;  // one above the highest priority
 
-// A waiting job with what it is ordered by; the least is served first.
+// A waiting job with its sort keys, the most significant first; the smallest is served first.
 struct WaitingJob {
     int negative_priority = 0;
     int evacuation_position = 0;  // displaced work first, by its class
     int borrows = 0;              // 1: its team would exceed its guaranteed share
     Ms start_deadline = 0;
-    std::uint64_t created_version = 0;  // its age
+    std::uint64_t created_version = 0;  // stands for the job's age
     Id job = kNone;
     auto operator<=>(const WaitingJob&) const = default;
 };
 }  // namespace
 
-// Strict priority would let the lowest wait for ever while higher work keeps coming. The rest of a
-// job that has begun waits by its own priority: under several times the usual load the arrays begun
-// first took every slot for the rest of the day, and less than half of their class ever began.
+// Without aging, a job of the lowest priority would never start while jobs of higher priority keep
+// coming. The remaining tasks of a job that has started wait with the job's own priority: when they
+// aged too, under several times the usual load the arrays started first took every slot for the
+// rest of the day, and less than half of the jobs of their class ever started.
 int aged_priority(const Job& job, Ms since, Ms now, double priority_aging_s) {
     int own = static_cast<int>(job.spec.priority);
     if (priority_aging_s <= 0 || job.assigned > 0 || job.done > 0) {
--- a/src/coordination/placement/waiting_order.hpp
+++ b/src/coordination/placement/waiting_order.hpp
@@ -1,5 +1,6 @@
-// The order in which waiting jobs are served: by aged priority, then displaced work, guaranteed
-// before borrowed demand, start deadline, and age.
+// The order in which waiting jobs are served: by aged priority; then displaced work, by its
+// evacuation position; then demand within a team's guaranteed share before borrowed demand; then
+// start deadline; then age.
 #pragma once
 
 #include <vector>
@@ -9,11 +10,11 @@
 
 namespace walkford {
 
-// The job's priority, raised by waiting. `since`: from when its waiting counts;
-// `priority_aging_s`: seconds of waiting that raise it by one, 0 for never.
+// The job's priority including aging. `since`: the time from which its waiting counts;
+// `priority_aging_s`: the seconds of waiting that raise the priority by one, 0 for no aging.
 int aged_priority(const Job& job, Ms since, Ms now, double priority_aging_s);
 
-// The jobs with tasks to be placed, in the order in which they are served.
+// Returns the jobs with tasks to place, in the order in which they are served.
 std::vector<Id> waiting_order(const ClusterState& cluster, Ms now, double priority_aging_s,
                               const ZoneFailoverManager& zone_failover);
 
