--- a/src/coordination/scaling/scale_out_candidates.cpp
+++ b/src/coordination/scaling/scale_out_candidates.cpp
@@ -6,7 +6,7 @@
 namespace walkford {
 
 namespace {
-constexpr double kEqualCost = 1e-9;
+constexpr double kCostTolerance = 1e-9;  // costs that differ by less are equal
 }  // namespace
 
 ScaleOutCandidates::ScaleOutCandidates(Ms now, const LeaderContext& context,
@@ -16,25 +16,25 @@
 std::vector<ScaleOutCandidate> ScaleOutCandidates::for_resource(
     Resource resource, const std::vector<PendingDemand>& unplaced) const {
     const ClusterState& cluster = context_.cluster;
-    return list([&](const MachineType& machine_type, Id zone, bool spot) {
-        bool useful =
+    return list_candidates([&](const MachineType& machine_type, Id zone, bool spot) {
+        bool runs_unplaced_task =
             std::any_of(unplaced.begin(), unplaced.end(), [&](const PendingDemand& demand) {
                 return ClusterState::slots(cluster.jobs[demand.job].spec, machine_type.id, zone,
                                            spot, machine_type.size) > 0;
             });
-        return useful ? machine_type.size.get(resource) : 0.0;
+        return runs_unplaced_task ? machine_type.size.get(resource) : 0.0;
     });
 }
 
 std::vector<ScaleOutCandidate> ScaleOutCandidates::for_job(const JobSpec& spec) const {
-    return list([&](const MachineType& machine_type, Id zone, bool spot) {
+    return list_candidates([&](const MachineType& machine_type, Id zone, bool spot) {
         return static_cast<double>(
             ClusterState::slots(spec, machine_type.id, zone, spot, machine_type.size));
     });
 }
 
 template <typename UnitsOf>
-std::vector<ScaleOutCandidate> ScaleOutCandidates::list(const UnitsOf& units_of) const {
+std::vector<ScaleOutCandidate> ScaleOutCandidates::list_candidates(const UnitsOf& units_of) const {
     bool use_spot = context_.controller.operator_settings.prefer_spot > 0;
     std::vector<ScaleOutCandidate> candidates;
     for (const MachineType& machine_type : context_.cluster.machine_types()) {
@@ -66,17 +66,18 @@
 
 void ScaleOutCandidates::sort(std::vector<ScaleOutCandidate>& candidates) const {
     bool most_cores_first = context_.controller.operator_settings.order == ScaleOrder::cores;
-    auto goes_before = [&](const ScaleOutCandidate& left, const ScaleOutCandidate& right) {
+    auto ranks_before = [&](const ScaleOutCandidate& left, const ScaleOutCandidate& right) {
         if (most_cores_first && left.cores != right.cores) {
             return left.cores > right.cores;
         }
-        if (std::abs(left.cost - right.cost) > kEqualCost) {
+        if (std::abs(left.cost - right.cost) > kCostTolerance) {
             return left.cost < right.cost;
         }
-        // Zones take turns: a reclaim of spot instances or a partition hits one zone at a time.
+        // Prefers the zone with fewer machines of the type, which spreads them: spot reclaims and
+        // network partitions usually affect one zone at a time.
         return registered_machines(left) < registered_machines(right);
     };
-    std::stable_sort(candidates.begin(), candidates.end(), goes_before);
+    std::stable_sort(candidates.begin(), candidates.end(), ranks_before);
 }
 
 }  // namespace walkford
--- a/src/coordination/scaling/scale_out_candidates.hpp
+++ b/src/coordination/scaling/scale_out_candidates.hpp
@@ -1,4 +1,5 @@
-// What can be requested from the cloud now, the best first: by price for what is short.
+// Lists the machines that can be requested from the cloud now, ranked by their price per unit of
+// the resource or slots that are short.
 #pragma once
 
 #include <vector>
@@ -10,33 +11,35 @@
 
 namespace walkford {
 
-// A machine type in a zone, on demand or spot, that can be requested now.
+// A machine type in a zone, as an on-demand or a spot instance, that can be requested now.
 struct ScaleOutCandidate {
     Id machine_type = kNone;
     Id zone = kNone;
     bool spot = false;
     double cores = 0;
-    double cost = 0;  // price per unit of what is short
+    double cost = 0;  // price per unit of the missing resource or per missing slot
 };
 
-// Lists candidates for the scaler; made for one decision, as the cloud's refusals change.
+// Lists the candidates for one decision of the scaler. Not reused for the next decision, because a
+// refusal by the cloud removes candidates.
 class ScaleOutCandidates {
   public:
-    // The references must outlive this.
+    // The references must outlive this object.
     ScaleOutCandidates(Ms now, const LeaderContext& context, const FleetMeasurement& fleet,
                        const CloudManager& cloud);
 
-    // Candidates that offer the resource and can hold a task of some unplaced demand.
+    // Candidates that offer the resource and can run a task of at least one unplaced demand.
     std::vector<ScaleOutCandidate> for_resource(Resource resource,
                                                 const std::vector<PendingDemand>& unplaced) const;
-    // Candidates that can hold a task of the job.
+    // Candidates that can run at least one task of the job.
     std::vector<ScaleOutCandidate> for_job(const JobSpec& spec) const;
 
   private:
-    // `units_of(machine_type, zone, spot)`: how much of what is short such a machine offers.
+    // `units_of(machine_type, zone, spot)` returns how many units of the missing resource, or how
+    // many of the missing slots, one such machine offers.
     template <typename UnitsOf>
-    std::vector<ScaleOutCandidate> list(const UnitsOf& units_of) const;
-    // Sorts by cost (or cores, by the setting `order`).
+    std::vector<ScaleOutCandidate> list_candidates(const UnitsOf& units_of) const;
+    // Sorts by ascending cost, or by descending cores first if the setting `scale.order` says so.
     void sort(std::vector<ScaleOutCandidate>& candidates) const;
     std::uint32_t registered_machines(const ScaleOutCandidate& candidate) const;
 
--- a/src/coordination/scaling/scaler.cpp
+++ b/src/coordination/scaling/scaler.cpp
@@ -8,13 +8,13 @@
 namespace walkford {
 
 namespace {
-constexpr Ms kTick = 500;
-constexpr Ms kLogFleetEvery = 10000;
-constexpr int kMaxScaleOutRequests = 24;  // for demand that fits nowhere, in one tick
+constexpr Ms kTickInterval = 500;
+constexpr Ms kFleetLogInterval = 10000;
+constexpr int kMaxScaleOutRequests = 24;  // per tick, for tasks that fit on no machine
 constexpr double kMaxMachinesPerRequest = 50;
-constexpr Ms kMinIdle = 5000;  // before a machine is released below the low mark
+constexpr Ms kMinIdleTime = 5000;  // before a release below the low mark
 constexpr double kMaxLoggedUtilization = 999;
-constexpr double kNegligible = 1e-6;
+constexpr double kNegligibleCapacity = 1e-6;
 }  // namespace
 
 Scaler::Scaler(LeaderContext& context, const ZoneFailoverManager& zone_failover)
@@ -27,22 +27,22 @@
     if (now < next_tick_at_ && !context_.scale_out_now) {
         return;
     }
-    next_tick_at_ = now + kTick;
-    bool at_once = context_.scale_out_now;
+    next_tick_at_ = now + kTickInterval;
+    bool skip_interval = context_.scale_out_now;
     context_.scale_out_now = false;
     if (!cloud.known() || context_.cluster.machine_types().empty()) {
         return;
     }
     FleetMeasurement& fleet = meter_.measure(now, workers, cloud);
-    // Not all machines have reported to a new leader yet: it waits one interval before it scales
-    // out.
-    if (scaled_out_at_ < 0) {
-        scaled_out_at_ = context_.elected_at;
+    // A new leader waits one interval before it scales out, because not all machines have reported
+    // to it yet.
+    if (last_scale_out_at_ < 0) {
+        last_scale_out_at_ = context_.elected_at;
     }
     pack_pending(fleet);
     log_fleet(now, workers);
     const OperatorSettings& settings = context_.controller.operator_settings;
-    if (at_once || now >= scaled_out_at_ + to_ms(settings.out_interval_s)) {
+    if (skip_interval || now >= last_scale_out_at_ + to_ms(settings.out_interval_s)) {
         std::size_t bins_before = fleet.bins.size();
         scale_out_by_utilization(now, fleet, cloud);
         if (!unplaced_.empty() || fleet.bins.size() > bins_before) {
@@ -56,8 +56,8 @@
     scale_in(now, cloud);
 }
 
-void Scaler::pack_each(const FleetMeasurement& fleet,
-                       const std::function<void(PendingDemand&)>& pack) {
+void Scaler::pack_demands(const FleetMeasurement& fleet,
+                          const std::function<void(PendingDemand&)>& pack) {
     unplaced_.clear();
     trial_packing_.begin(fleet.bins, fleet.demands);
     for (const PendingDemand& pending : fleet.demands) {
@@ -74,21 +74,22 @@
 }
 
 void Scaler::pack_pending(const FleetMeasurement& fleet) {
-    pack_each(fleet, [this](PendingDemand& demand) {
+    pack_demands(fleet, [this](PendingDemand& demand) {
         trial_packing_.pack(demand, TrialPacking::PartialFit::pack);
     });
 }
 
 void Scaler::pack_and_scale_out(Ms now, FleetMeasurement& fleet, CloudManager& cloud) {
     int requests = 0;
-    pack_each(fleet, [&](PendingDemand& demand) {
-        trial_packing_.pack(demand, TrialPacking::PartialFit::leave_out);
+    pack_demands(fleet, [&](PendingDemand& demand) {
+        trial_packing_.pack(demand, TrialPacking::PartialFit::skip);
         while (demand.count > 0 && requests < kMaxScaleOutRequests &&
                scale_out_for_demand(now, demand, fleet, cloud)) {
             ++requests;
-            trial_packing_.pack(demand, TrialPacking::PartialFit::leave_out);
+            trial_packing_.pack(demand, TrialPacking::PartialFit::skip);
         }
-        // No more is requested for it: what there is goes to it.
+        // No more machines are requested for this demand, so the part that fits takes the free
+        // slots.
         if (demand.count > 0) {
             trial_packing_.pack(demand, TrialPacking::PartialFit::pack);
         }
@@ -108,8 +109,8 @@
 std::uint32_t Scaler::machine_count(Id machine_type, const FleetMeasurement& fleet,
                                     const CloudManager& cloud) {
     std::uint32_t machines = 0;
-    for (const auto& [where, count] : fleet.registered_machines) {
-        machines += where.machine_type == machine_type ? count : 0;
+    for (const auto& [type_in_zone, count] : fleet.registered_machines) {
+        machines += type_in_zone.machine_type == machine_type ? count : 0;
     }
     for (const ScaleOutRequest& request : cloud.scale_out_requests()) {
         machines += request.machine_type == machine_type ? request.count : 0;
@@ -126,10 +127,10 @@
         return 0;
     }
     count = std::min(count, settings.max_per_machine_type - existing);
-    ZoneMachines& zone_machines = fleet.zone_machines[candidate.zone];
-    count =
-        std::min(count, zone_failover_.scale_out_allowance(candidate.zone, zone_machines.reporting,
-                                                           zone_machines.on_their_way, for_job));
+    ZoneMachineCounts& zone_machine_counts = fleet.zone_machine_counts[candidate.zone];
+    count = std::min(
+        count, zone_failover_.scale_out_allowance(candidate.zone, zone_machine_counts.reporting,
+                                                  zone_machine_counts.on_their_way, for_job));
     bool permanent = !cloud.first_scale_out_done() && settings.permanent_first > 0;
     if (permanent) {
         count = std::min(count, settings.permanent_first);
@@ -138,7 +139,7 @@
                                               candidate.spot, count, permanent, reason)) {
         return 0;
     }
-    zone_machines.on_their_way += count;
+    zone_machine_counts.on_their_way += count;
     return count;
 }
 
@@ -148,39 +149,44 @@
     if (utilization.value <= settings.mark_high || fleet.demands.empty()) {
         return;
     }
-    Resource driving = utilization.driving;
+    Resource dominant = utilization.dominant;
     double midpoint = (settings.mark_low + settings.mark_high) / 2;
-    double needed =
-        (utilization.allocated.get(driving) + utilization.pending.get(driving)) / midpoint -
-        utilization.capacity.get(driving);
-    // What a lost zone displaced is divided among the others.
-    double zones = zone_failover_.evacuating() ? zone_failover_.open_zones() : 1;
-    double needed_per_zone = needed / zones;
+    double needed_capacity =
+        (utilization.allocated.get(dominant) + utilization.pending.get(dominant)) / midpoint -
+        utilization.capacity.get(dominant);
+    // Demand displaced by a lost zone is divided among the open zones.
+    double zone_count = zone_failover_.evacuating() ? zone_failover_.open_zones() : 1;
+    double needed_per_zone = needed_capacity / zone_count;
     for (const ScaleOutCandidate& candidate :
-         ScaleOutCandidates(now, context_, fleet, cloud).for_resource(driving, unplaced_)) {
-        if (needed <= kNegligible) {
+         ScaleOutCandidates(now, context_, fleet, cloud).for_resource(dominant, unplaced_)) {
+        if (needed_capacity <= kNegligibleCapacity) {
             break;
         }
-        double each = context_.cluster.machine_type(candidate.machine_type)->size.get(driving);
-        double wanted = std::ceil(std::min(needed, needed_per_zone) / each);
-        auto count = static_cast<std::uint32_t>(std::clamp(wanted, 1.0, kMaxMachinesPerRequest));
-        count = request_machines(now, candidate, count,
-                                 fmt::format("utilization {:.2f} of {} above {:.2f}",
-                                             std::min(utilization.value, kMaxLoggedUtilization),
-                                             resource_name(driving), settings.mark_high),
-                                 fleet, cloud);
+        double per_machine =
+            context_.cluster.machine_type(candidate.machine_type)->size.get(dominant);
+        double wanted_machines =
+            std::ceil(std::min(needed_capacity, needed_per_zone) / per_machine);
+        auto count =
+            static_cast<std::uint32_t>(std::clamp(wanted_machines, 1.0, kMaxMachinesPerRequest));
+        count = request_machines(
+            now, candidate, count,
+            fmt::format("utilization of {} is {:.2f}, above the high mark {:.2f}",
+                        resource_name(dominant), std::min(utilization.value, kMaxLoggedUtilization),
+                        settings.mark_high),
+            fleet, cloud);
         if (count == 0) {
             continue;
         }
-        needed -= each * count;
+        needed_capacity -= per_machine * count;
         add_bins(candidate, count, fleet);
-        scaled_out_at_ = now;
+        last_scale_out_at_ = now;
     }
 }
 
-// Exception: the utilization of the whole fleet doesn't show a task that fits nowhere (machine
-// type, zone, spot, fragmentation). The cheapest machine for it is requested, one candidate at a
-// time.
+// Scales out regardless of the high mark: the utilization of the whole fleet doesn't reveal a task
+// that fits on no machine because of its machine type, zone, spot setting or fragmentation.
+// Requests machines of the cheapest candidate only; the caller repeats the call while demand is
+// left over.
 bool Scaler::scale_out_for_demand(Ms now, const PendingDemand& demand, FleetMeasurement& fleet,
                                   CloudManager& cloud) {
     const Job& job = context_.cluster.jobs[demand.job];
@@ -188,12 +194,12 @@
     if (now < job.waiting_since + to_ms(settings.unplaceable_after_s)) {
         return false;
     }
-    std::vector<ScaleOutCandidate> list =
+    std::vector<ScaleOutCandidate> candidates =
         ScaleOutCandidates(now, context_, fleet, cloud).for_job(job.spec);
     return std::any_of(demand.shortfalls.begin(), demand.shortfalls.end(),
                        [&](const ZoneShortfall& shortfall) {
                            return shortfall.missing_slots > 0 &&
-                                  scale_out_in_zone(now, job, shortfall, list, fleet, cloud);
+                                  scale_out_in_zone(now, job, shortfall, candidates, fleet, cloud);
                        });
 }
 
@@ -214,30 +220,32 @@
         std::uint32_t count = (missing + slots - 1) / slots;
         count = request_machines(
             now, candidate, count,
-            fmt::format("{} has {} tasks that fit on no machine", job.spec.id, missing), fleet,
+            fmt::format("job {} has {} tasks that fit on no machine", job.spec.id, missing), fleet,
             cloud, context_.cluster.find_job(job.spec.id));
         if (count == 0) {
             continue;
         }
         add_bins(candidate, count, fleet);
-        scaled_out_at_ = now;
+        last_scale_out_at_ = now;
         return true;
     }
     return false;
 }
 
-// One at a time, as the design says; at hundreds of machines several intervals may have passed
-// since the last tick, and each of them is due its one machine.
+// One machine may be released per interval. In a fleet of hundreds of machines the interval can be
+// shorter than a tick; then one machine may be released for each interval since the last tick.
 std::uint32_t Scaler::releases_due(Ms now, Ms interval) const {
-    Ms intervals = std::clamp<Ms>((now - scale_in_at_) / interval, 0, kTick / interval);
+    Ms intervals =
+        std::clamp<Ms>((now - next_scale_in_at_) / interval, 0, kTickInterval / interval);
     if (intervals == 0) {
-        return now >= scale_in_at_ ? 1 : 0;
+        return now >= next_scale_in_at_ ? 1 : 0;
     }
     return static_cast<std::uint32_t>(intervals);
 }
 
-// Below the low mark one that is empty goes; above it only one that has stood empty for long: a
-// utilization held up by one resource says nothing of machines requested for another.
+// Below the low mark, any machine that has been empty for the minimum time may be released. Above
+// it, only one whose idle time has cost more than the limit: a high utilization of one resource
+// says nothing about machines that were requested for another resource.
 bool Scaler::release_allowed(Ms now, const Machine& machine, const MachineType& machine_type,
                              bool below_low_mark) const {
     constexpr double kSecondsPerHour = 3600.0;
@@ -249,14 +257,14 @@
     if (max_idle_cost > 0 && idle_cost > max_idle_cost) {
         return true;
     }
-    return below_low_mark && now >= machine.idle_since + kMinIdle;
+    return below_low_mark && now >= machine.idle_since + kMinIdleTime;
 }
 
 std::vector<Scaler::ReleaseCandidate> Scaler::release_candidates(Ms now,
                                                                  bool below_low_mark) const {
     const ClusterState& cluster = context_.cluster;
-    std::set<Id> needed = trial_packing_.used_machines();
-    std::vector<ReleaseCandidate> list;
+    std::set<Id> needed_machines = trial_packing_.used_machines();
+    std::vector<ReleaseCandidate> candidates;
     for (Id id = 0; id < cluster.machines.size(); ++id) {
         const Machine& machine = cluster.machines[id];
         const MachineType* machine_type = cluster.machine_type(machine.machine_type);
@@ -264,23 +272,25 @@
             !machine.worker.reported || !machine_type) {
             continue;
         }
-        // One that is reserved for a gang stands empty until there is room for all members.
-        if (!machine.tasks.empty() || needed.count(id) || machine.reservation.job != kNone) {
+        // A machine reserved for a gang stays empty until there is room for all of its tasks.
+        if (!machine.tasks.empty() || needed_machines.count(id) ||
+            machine.reservation.job != kNone) {
             continue;
         }
         if (release_allowed(now, machine, *machine_type, below_low_mark)) {
-            list.push_back({machine.spot ? machine_type->spot_price : machine_type->price, id});
+            candidates.push_back(
+                {machine.spot ? machine_type->spot_price : machine_type->price, id});
         }
     }
-    std::sort(list.begin(), list.end());
-    return list;
+    std::sort(candidates.begin(), candidates.end());
+    return candidates;
 }
 
 void Scaler::scale_in(Ms now, CloudManager& cloud) {
     const OperatorSettings& settings = context_.controller.operator_settings;
     Ms interval = std::max<Ms>(1, to_ms(settings.in_interval_s));
-    std::uint32_t due = releases_due(now, interval);
-    if (due == 0) {
+    std::uint32_t max_releases = releases_due(now, interval);
+    if (max_releases == 0) {
         return;
     }
     for (Machine& machine : context_.cluster.machines) {
@@ -288,24 +298,24 @@
             machine.idle_since = now;
         }
     }
-    bool below_low_mark = last().value < settings.mark_low;
-    std::vector<ReleaseCandidate> list = release_candidates(now, below_low_mark);
-    if (list.size() > due) {
-        list.resize(due);
+    bool below_low_mark = last_utilization().value < settings.mark_low;
+    std::vector<ReleaseCandidate> candidates = release_candidates(now, below_low_mark);
+    if (candidates.size() > max_releases) {
+        candidates.resize(max_releases);
     }
-    for (const ReleaseCandidate& candidate : list) {
-        scale_in_at_ = now + interval;
+    for (const ReleaseCandidate& candidate : candidates) {
+        next_scale_in_at_ = now + interval;
         cloud.release_machine(now, candidate.machine,
-                              below_low_mark ? "below the low mark" : "idle");
+                              below_low_mark ? "utilization is below the low mark" : "idle");
     }
 }
 
-// For those who ask for the debug log: what runs where.
+// Logs, at debug level only, the utilization, the pending demand and the usage of each machine.
 void Scaler::log_fleet(Ms now, const WorkerManager& workers) {
-    if (now < log_fleet_at_ || !spdlog::should_log(spdlog::level::debug)) {
+    if (now < next_fleet_log_at_ || !spdlog::should_log(spdlog::level::debug)) {
         return;
     }
-    log_fleet_at_ = now + kLogFleetEvery;
+    next_fleet_log_at_ = now + kFleetLogInterval;
     const ClusterState& cluster = context_.cluster;
     std::string machines;
     for (const Machine& machine : cluster.machines) {
@@ -313,19 +323,19 @@
             continue;
         }
         machines += fmt::format(
-            " {}:{}{}:{}t/{}c/{}g/{}r", machine.name,
+            " {} ({}{}: {} tasks, {} cores, {} GPUs, {} GB memory)", machine.name,
             machine.machine_type == kNone ? "?"
                                           : cluster.names.machine_types.name(machine.machine_type),
-            workers.schedulable(machine, now) ? "" : "(not up)", machine.tasks.size(),
+            workers.schedulable(machine, now) ? "" : ", not schedulable", machine.tasks.size(),
             machine.used.cpus, machine.used.gpus, machine.used.ram);
     }
-    const FleetMeasurement& fleet = meter_.last();
+    const FleetMeasurement& fleet = meter_.last_measurement();
     spdlog::debug(
-        "utilization {:.2f} of {}, {} jobs pending, {} with tasks that fit on no machine, "
-        "{} writes queued;{}",
-        std::min(fleet.utilization.value, kMaxLoggedUtilization),
-        resource_name(fleet.utilization.driving), fleet.demands.size(), unplaced_.size(),
-        context_.controller.store.queued(), machines);
+        "utilization of {} is {:.2f}; {} jobs pending, {} of them with tasks that fit on no "
+        "machine; {} store writes queued; machines:{}",
+        resource_name(fleet.utilization.dominant),
+        std::min(fleet.utilization.value, kMaxLoggedUtilization), fleet.demands.size(),
+        unplaced_.size(), context_.controller.store.queued(), machines);
 }
 
 }  // namespace walkford
--- a/src/coordination/scaling/scaler.hpp
+++ b/src/coordination/scaling/scaler.hpp
@@ -1,6 +1,6 @@
-// Decides when machines are requested and released. The design's rule: scale out above the high
-// mark of utilization until the marks' midpoint, release one empty temporary machine below the low
-// mark. Exceptions are named in docs/design.md.
+// Decides when machines are requested and released. Above the high mark, requests enough machines
+// to bring the utilization down to the midpoint of the two marks; below the low mark, releases one
+// empty temporary machine at a time. docs/design.md lists the exceptions.
 #pragma once
 
 #include <functional>
@@ -16,8 +16,8 @@
 
 namespace walkford {
 
-// Sizes the fleet for the leader; owns nothing durable. Each tick measures the utilization, packs
-// the pending demand on trial, and decides by both.
+// Sizes the fleet for the leader and holds no durable state. Each tick measures the utilization and
+// runs a trial packing of the pending demand; both results determine what is requested or released.
 class Scaler {
   public:
     using Utilization = walkford::Utilization;
@@ -25,28 +25,32 @@
     // The references must outlive the scaler.
     Scaler(LeaderContext& context, const ZoneFailoverManager& zone_failover);
 
-    // Called by the leader at every step; does nothing until the next tick is due.
+    // Called by the leader at every step. Does nothing until the tick interval has passed, unless
+    // the context requests a scale-out at once.
     void tick(Ms now, const WorkerManager& workers, CloudManager& cloud);
 
-    // The utilization as of the last tick.
-    const Utilization& last() const { return meter_.last().utilization; }
+    // The utilization measured at the last tick.
+    const Utilization& last_utilization() const { return meter_.last_measurement().utilization; }
 
   private:
     // A machine that may be released.
     struct ReleaseCandidate {
         double price = 0;
         Id machine = kNone;
-        // The most expensive first.
+        // Orders the most expensive machine first.
         bool operator<(const ReleaseCandidate& other) const {
             return price != other.price ? price > other.price : machine < other.machine;
         }
     };
 
-    // Begins a trial packing and lets `pack` pack each demand; unplaced_ becomes what is left over.
-    void pack_each(const FleetMeasurement& fleet, const std::function<void(PendingDemand&)>& pack);
-    // Packs all pending demand on trial.
+    // Starts a trial packing, calls `pack` for each demand in serving order until the work limit
+    // is reached, and collects the demand that remains in unplaced_.
+    void pack_demands(const FleetMeasurement& fleet,
+                      const std::function<void(PendingDemand&)>& pack);
+    // Runs a trial packing of the pending demand without requesting machines.
     void pack_pending(const FleetMeasurement& fleet);
-    // The same, and requests machines for what fits nowhere on the way.
+    // Runs a trial packing of the pending demand, and requests machines for tasks that fit on no
+    // existing or requested machine. The demand packed next can use the requested machines.
     void pack_and_scale_out(Ms now, FleetMeasurement& fleet, CloudManager& cloud);
     void scale_out_by_utilization(Ms now, FleetMeasurement& fleet, CloudManager& cloud);
     bool scale_out_for_demand(Ms now, const PendingDemand& demand, FleetMeasurement& fleet,
@@ -55,19 +59,20 @@
                            const std::vector<ScaleOutCandidate>& candidates,
                            FleetMeasurement& fleet, CloudManager& cloud);
 
-    // Machines of that type that are registered or requested.
+    // The number of machines of the type that are registered or requested.
     static std::uint32_t machine_count(Id machine_type, const FleetMeasurement& fleet,
                                        const CloudManager& cloud);
-    // Returns how many were requested, 0 if none can be now. `for_job`: a job that fits nowhere;
-    // kNone: requested by the utilization.
+    // Requests up to `count` machines, within the limits of the machine type, the zone and the
+    // first scale-out. Returns how many were requested, 0 if none can be requested now. `for_job`
+    // is the job whose tasks fit on no machine, or kNone for a request because of the utilization.
     std::uint32_t request_machines(Ms now, const ScaleOutCandidate& candidate, std::uint32_t count,
                                    const std::string& reason, FleetMeasurement& fleet,
                                    CloudManager& cloud, Id for_job = kNone);
-    // The machines were requested: later packings count on them.
+    // Adds bins for machines that were just requested, to the running and to later packings.
     void add_bins(const ScaleOutCandidate& candidate, std::uint32_t count, FleetMeasurement& fleet);
 
     void scale_in(Ms now, CloudManager& cloud);
-    // How many machines may be released now.
+    // The largest number of machines that may be released now.
     std::uint32_t releases_due(Ms now, Ms interval) const;
     bool release_allowed(Ms now, const Machine& machine, const MachineType& machine_type,
                          bool below_low_mark) const;
@@ -78,11 +83,11 @@
     const ZoneFailoverManager& zone_failover_;
     UtilizationMeter meter_;
     TrialPacking trial_packing_;
-    std::vector<PendingDemand> unplaced_;  // by the last packing
+    std::vector<PendingDemand> unplaced_;  // demand that the last packing left over
     Ms next_tick_at_ = 0;
-    Ms scaled_out_at_ = -1;  // -1: not under this leader
-    Ms scale_in_at_ = 0;     // when the next machine may be released
-    Ms log_fleet_at_ = 0;
+    Ms last_scale_out_at_ = -1;  // -1: before the first measurement
+    Ms next_scale_in_at_ = 0;    // earliest time of the next release
+    Ms next_fleet_log_at_ = 0;
 };
 
 }  // namespace walkford
--- a/src/coordination/scaling/trial_packing.cpp
+++ b/src/coordination/scaling/trial_packing.cpp
@@ -5,18 +5,18 @@
 namespace walkford {
 
 namespace {
-constexpr std::size_t kMaxExaminedBins = 400000;  // in one packing
-constexpr std::size_t kMaxUnplacedJobs = 16;      // remembered, to compare others with
-// Full bins are dropped from the open ones once they are a quarter of them.
-constexpr std::size_t kOpenPerFullBin = 4;
+constexpr std::size_t kMaxExaminedBins = 400000;  // work limit of one packing
+constexpr std::size_t kMaxUnplacedJobs = 16;      // kept for comparison with later jobs
+// Full bins are dropped from the open bins once they make up a quarter of them.
+constexpr std::size_t kOpenBinsPerFullBin = 4;
 
 std::uint32_t tasks_in_zone(const Job& job, Id zone) {
     auto tasks = job.zones.find(zone);
     return tasks == job.zones.end() ? 0 : tasks->second;
 }
 
-// Same placement constraints, and tasks at least as large as the other's.
-bool as_hard_to_place(const JobSpec& spec, const JobSpec& other) {
+// Whether `spec` has the same placement constraints as `other`, and tasks at least as large.
+bool at_least_as_hard_to_place(const JobSpec& spec, const JobSpec& other) {
     return other.any_machine_type == spec.any_machine_type &&
            other.machine_types == spec.machine_types && other.zone == spec.zone &&
            other.spot == spec.spot && other.each.cpus <= spec.each.cpus &&
@@ -27,20 +27,21 @@
 void TrialPacking::begin(const std::vector<Bin>& bins, const std::vector<PendingDemand>& demands) {
     unplaced_jobs_.clear();
     examined_bins_ = 0;
-    // Bins too small for any task are not examined again for each job: in a full fleet that is most
-    // of them.
-    smallest_ = {1e18, 1e18, 1e18};
+    // Bins too small for every task are left out, so that they aren't examined again for each job;
+    // in a full fleet these are most of the bins.
+    smallest_task_ = {1e18, 1e18, 1e18};
     for (const PendingDemand& demand : demands) {
         const Resources& each = cluster_.jobs[demand.job].spec.each;
-        smallest_ = {std::min(smallest_.cpus, each.cpus), std::min(smallest_.gpus, each.gpus),
-                     std::min(smallest_.ram, each.ram)};
+        smallest_task_ = {std::min(smallest_task_.cpus, each.cpus),
+                          std::min(smallest_task_.gpus, each.gpus),
+                          std::min(smallest_task_.ram, each.ram)};
     }
     open_bins_.clear();
     full_bins_ = 0;
     bins_ = bins;
     for (std::uint32_t i = 0; i < bins_.size(); ++i) {
         bins_[i].used = false;
-        if (smallest_.fits_in(bins_[i].free)) {
+        if (smallest_task_.fits_in(bins_[i].free)) {
             open_bins_.push_back(i);
         }
     }
@@ -64,8 +65,9 @@
     return machines;
 }
 
-// Tasks that must share a zone are counted zone by zone (slots in two zones complete no gang), and
-// those that must be spread up to what each zone may hold.
+// A job whose tasks must share a zone needs all of its slots in one zone; slots in two zones can't
+// be combined. For a job that is spread, the slots of all zones add up, each zone contributing no
+// more than the job may have there.
 void TrialPacking::pack(PendingDemand& demand, PartialFit partial_fit) {
     const Job& job = cluster_.jobs[demand.job];
     const JobSpec& spec = job.spec;
@@ -79,11 +81,11 @@
     for (const ZoneSlots& zone : zones) {
         available = spec.one_zone ? std::max(available, zone.slots) : available + zone.slots;
     }
-    bool put = partial_fit == PartialFit::pack || available >= demand.count;
+    bool take_slots = partial_fit == PartialFit::pack || available >= demand.count;
     if (spec.one_zone) {
-        pack_in_one_zone(demand, zones, put);
+        pack_in_one_zone(demand, zones, take_slots);
     } else {
-        pack_spread(demand, zones, put);
+        pack_spread(demand, zones, take_slots);
     }
 }
 
@@ -123,24 +125,24 @@
 }
 
 void TrialPacking::pack_in_one_zone(PendingDemand& demand, const std::vector<ZoneSlots>& zones,
-                                    bool put) {
+                                    bool take_slots) {
     for (const ZoneSlots& zone : zones) {
         demand.shortfalls.push_back({zone.zone, demand.count - zone.slots});
     }
-    if (put && !zones.empty()) {
+    if (take_slots && !zones.empty()) {
         demand.count = fill_bins(cluster_.jobs[demand.job].spec, zones.front().zone, demand.count);
     }
 }
 
 void TrialPacking::pack_spread(PendingDemand& demand, const std::vector<ZoneSlots>& zones,
-                               bool put) {
+                               bool take_slots) {
     const Job& job = cluster_.jobs[demand.job];
     const JobSpec& spec = job.spec;
-    std::uint32_t left = demand.count;
+    std::uint32_t remaining = demand.count;
     for (const ZoneSlots& zone : zones) {
-        std::uint32_t taken = std::min(zone.slots, left);
-        left -= taken;
-        if (put) {
+        std::uint32_t taken = std::min(zone.slots, remaining);
+        remaining -= taken;
+        if (take_slots) {
             fill_bins(spec, zone.zone, taken);
         }
         std::uint32_t in_zone = tasks_in_zone(job, zone.zone) + taken;
@@ -149,16 +151,17 @@
         }
     }
     for (ZoneShortfall& shortfall : demand.shortfalls) {
-        shortfall.missing_slots = std::min(shortfall.missing_slots, left);
+        shortfall.missing_slots = std::min(shortfall.missing_slots, remaining);
     }
-    if (put) {
-        demand.count = left;
+    if (take_slots) {
+        demand.count = remaining;
     }
 }
 
 bool TrialPacking::known_not_to_fit(const JobSpec& spec) const {
-    return std::any_of(unplaced_jobs_.begin(), unplaced_jobs_.end(),
-                       [&](Id job) { return as_hard_to_place(spec, cluster_.jobs[job].spec); });
+    return std::any_of(unplaced_jobs_.begin(), unplaced_jobs_.end(), [&](Id job) {
+        return at_least_as_hard_to_place(spec, cluster_.jobs[job].spec);
+    });
 }
 
 std::uint32_t TrialPacking::count_slots(const JobSpec& spec, Id zone, std::uint32_t limit) {
@@ -195,18 +198,19 @@
         bin.free -= spec.each * packed;
         bin.used = true;
         count -= packed;
-        full_bins_ += !smallest_.fits_in(bin.free);
+        full_bins_ += !smallest_task_.fits_in(bin.free);
     }
     drop_full_bins();
     return count;
 }
 
 void TrialPacking::drop_full_bins() {
-    if (full_bins_ * kOpenPerFullBin < open_bins_.size()) {
+    if (full_bins_ * kOpenBinsPerFullBin < open_bins_.size()) {
         return;
     }
-    std::erase_if(open_bins_,
-                  [this](std::uint32_t index) { return !smallest_.fits_in(bins_[index].free); });
+    std::erase_if(open_bins_, [this](std::uint32_t index) {
+        return !smallest_task_.fits_in(bins_[index].free);
+    });
     full_bins_ = 0;
 }
 
--- a/src/coordination/scaling/utilization.cpp
+++ b/src/coordination/scaling/utilization.cpp
@@ -8,23 +8,26 @@
 namespace walkford {
 
 namespace {
-constexpr std::uint32_t kMaxPendingTasks = 20000;  // a measurement looks no further
-// So many silent machines, and a fifth of the fleet, are more than single machines that stop.
-constexpr std::size_t kManySilent = 8;
-constexpr std::size_t kFleetPerSilent = 5;
-constexpr Ms kExpectedBackWithin = 20000;       // after the lease
-constexpr Ms kBootSlack = 3000;                 // for the request and the first heartbeat
-constexpr Ms kReportGraceAfterElection = 6000;  // until the machines have reported to a new leader
+// A measurement ends with the job whose tasks exceed this total.
+constexpr std::uint32_t kMaxPendingTasks = 20000;
+// At least 8 silent machines that are also at least a fifth of the fleet indicate a common cause
+// rather than failures of individual machines.
+constexpr std::size_t kMinSilentMachines = 8;
+constexpr std::size_t kMachinesPerSilentMachine = 5;
+constexpr Ms kRecoveryWindow = 20000;           // after the lease of a silent machine has ended
+constexpr Ms kBootAllowance = 3000;             // added for the request and the first heartbeat
+constexpr Ms kReportGraceAfterElection = 6000;  // in which machines report to a new leader
 constexpr double kUnlimited = 1e9;
 constexpr double kNegligible = 1e-9;
 
-// How many tasks a quota admits beyond what is used.
-double admitted_by(double quota, double used, double each) {
-    constexpr double kSlack = 1e-6;
+// The number of tasks of size `each` that the quota admits on top of the used amount. A quota of 0
+// sets no limit.
+double tasks_within_quota(double quota, double used, double each) {
+    constexpr double kRoundingTolerance = 1e-6;
     if (quota <= 0 || each <= 0) {
         return kUnlimited;
     }
-    return std::max(0.0, std::floor((quota - used + kSlack) / each));
+    return std::max(0.0, std::floor((quota - used + kRoundingTolerance) / each));
 }
 
 double share_of(double demand, double capacity) {
@@ -42,29 +45,29 @@
                                             const CloudManager& cloud) {
     fleet_.bins.clear();
     fleet_.registered_machines.clear();
-    fleet_.zone_machines.clear();
+    fleet_.zone_machine_counts.clear();
     fleet_.demands.clear();
     fleet_.utilization = {};
     measure_machines(now, workers);
     measure_requested_machines(cloud);
     measure_pending_demand(now);
-    find_driving_resource();
+    find_dominant_resource();
     return fleet_;
 }
 
-bool UtilizationMeter::expected_back(const Machine& machine, Ms now) const {
+bool UtilizationMeter::expected_to_recover(const Machine& machine, Ms now) const {
     return machine.registered && machine.worker.reported && !machine.terminated &&
            !machine.releasing && !machine.health.quarantined && machine.worker.reclaim_at < 0 &&
            machine.listing.state != CloudMachineState::failed &&
            machine.acknowledgement.missed_answers == 0 && !zone_failover_.lost(machine.zone) &&
            (context_.relayed(machine) ||
             now < machine.worker.last_heartbeat +
-                      to_ms(context_.controller.platform_settings.lease_s) + kExpectedBackWithin);
+                      to_ms(context_.controller.platform_settings.lease_s) + kRecoveryWindow);
 }
 
-// Machines that fall silent by the dozen hang or stand behind a network partition, and go on: a
-// second fleet in their place would be up when they are back. (The cloud's list names those that
-// died.)
+// Many machines that fall silent together are usually hung or behind a network partition, and
+// recover: replacements for them would be up only when they are back. Machines that died are
+// marked as failed in the cloud's list and don't count here.
 bool UtilizationMeter::many_machines_silent(Ms now, const WorkerManager& workers) const {
     std::size_t silent = 0;
     std::size_t all = 0;
@@ -73,15 +76,15 @@
             continue;
         }
         ++all;
-        silent += expected_back(machine, now) && !workers.schedulable(machine, now);
+        silent += expected_to_recover(machine, now) && !workers.schedulable(machine, now);
     }
-    return silent >= kManySilent && kFleetPerSilent * silent >= all;
+    return silent >= kMinSilentMachines && kMachinesPerSilentMachine * silent >= all;
 }
 
-bool UtilizationMeter::late_to_boot(const Machine& machine, const MachineType& machine_type,
+bool UtilizationMeter::boot_overdue(const Machine& machine, const MachineType& machine_type,
                                     Ms now) const {
     double factor = context_.controller.operator_settings.boot_late_factor;
-    return now >= machine.requested_at + to_ms(machine_type.boot_s * factor) + kBootSlack;
+    return now >= machine.requested_at + to_ms(machine_type.boot_s * factor) + kBootAllowance;
 }
 
 bool UtilizationMeter::counts_as_capacity(const Machine& machine, const MachineType& machine_type,
@@ -89,17 +92,17 @@
     if (schedulable) {
         return true;
     }
-    // One on its way counts, or machines would be requested twice for the same demand; one that is
-    // late does not.
+    // A machine that is still booting counts, or machines would be requested twice for the same
+    // demand. A machine whose boot is overdue doesn't count.
     if (!machine.worker.reported && !machine.releasing &&
-        !late_to_boot(machine, machine_type, now)) {
+        !boot_overdue(machine, machine_type, now)) {
         return true;
     }
     if (now < context_.elected_at + kReportGraceAfterElection && !machine.releasing &&
         !machine.health.quarantined) {
         return true;
     }
-    return many_silent && expected_back(machine, now);
+    return many_silent && expected_to_recover(machine, now);
 }
 
 void UtilizationMeter::measure_machines(Ms now, const WorkerManager& workers) {
@@ -114,11 +117,12 @@
         ++fleet_.registered_machines[{machine.machine_type, machine.zone}];
         fleet_.utilization.allocated += machine.used;
         bool schedulable = workers.schedulable(machine, now);
-        ZoneMachines& zone_machines = fleet_.zone_machines[machine.zone];
-        zone_machines.reporting += schedulable;
-        zone_machines.on_their_way += !machine.worker.reported && !machine.releasing;
+        ZoneMachineCounts& zone_machine_counts = fleet_.zone_machine_counts[machine.zone];
+        zone_machine_counts.reporting += schedulable;
+        zone_machine_counts.on_their_way += !machine.worker.reported && !machine.releasing;
         if (!counts_as_capacity(machine, *machine_type, schedulable, many_silent, now)) {
-            // What is still allocated there counts on both sides.
+            // Tasks still allocated to this machine count as allocated, so their resources also
+            // count as capacity.
             fleet_.utilization.capacity += machine.used;
             continue;
         }
@@ -135,7 +139,7 @@
             continue;
         }
         fleet_.utilization.capacity += machine_type->size * request.count;
-        fleet_.zone_machines[request.zone].on_their_way += request.count;
+        fleet_.zone_machine_counts[request.zone].on_their_way += request.count;
         for (std::uint32_t i = 0; i < request.count; ++i) {
             fleet_.bins.push_back({machine_type->size, request.machine_type, request.zone, kNone,
                                    request.spot, false});
@@ -150,7 +154,8 @@
     for (Id id : waiting_order(cluster, now, context_.controller.operator_settings.priority_aging_s,
                                zone_failover_)) {
         const Job& job = cluster.jobs[id];
-        // Bound to a lost zone: no machine elsewhere helps it, and its quota blocks nobody.
+        // The job can run in a lost zone only. Machines in other zones don't help it, and it
+        // doesn't block other jobs of its team by the quota.
         if (zone_failover_.waits_for_zone(id)) {
             if (zone_failover_.waited_long(id)) {
                 fleet_.demands.push_back({id, job.waiting()});
@@ -186,8 +191,8 @@
     const JobSpec& spec = job.spec;
     const Resources& quota = context_.cluster.team(spec.team)->quota;
     Resources used = context_.cluster.team_used(spec.team) + team_demand.admitted;
-    double admitted = std::min(admitted_by(quota.cpus, used.cpus, spec.each.cpus),
-                               admitted_by(quota.gpus, used.gpus, spec.each.gpus));
+    double admitted = std::min(tasks_within_quota(quota.cpus, used.cpus, spec.each.cpus),
+                               tasks_within_quota(quota.gpus, used.gpus, spec.each.gpus));
     std::uint32_t waiting = job.waiting();
     if (admitted < (spec.gang() ? waiting : 1)) {
         return 0;
@@ -204,7 +209,7 @@
                        });
 }
 
-void UtilizationMeter::find_driving_resource() {
+void UtilizationMeter::find_dominant_resource() {
     Utilization& utilization = fleet_.utilization;
     for (Resource resource : kResources) {
         double demand = utilization.allocated.get(resource) + utilization.pending.get(resource);
@@ -212,7 +217,7 @@
         double share = share_of(demand, capacity);
         if (share > utilization.value) {
             utilization.value = share;
-            utilization.driving = resource;
+            utilization.dominant = resource;
         }
     }
 }
--- a/src/coordination/scaling/utilization.hpp
+++ b/src/coordination/scaling/utilization.hpp
@@ -1,5 +1,5 @@
-// Measures the fleet for the scaler: what is allocated, what is pending within the teams' quotas,
-// and what capacity there is, up or on its way.
+// Measures the fleet for the scaler: the allocated resources, the pending demand within the teams'
+// quotas, and the capacity of machines that are up, booting or requested.
 #pragma once
 
 #include <map>
@@ -13,12 +13,12 @@
 
 namespace walkford {
 
-// The measure that scaling goes by: the largest share, over the resources, that allocated and
-// pending demand have of the capacity.
+// The utilization that scaling decisions are based on: allocated plus pending demand as a share of
+// the capacity, for the resource where that share is largest.
 struct Utilization {
     Resources allocated, pending, capacity;
-    Resource driving = Resource::cpu;  // the resource with the largest share
-    double value = 0;                  // that share; above 1 where demand exceeds capacity
+    Resource dominant = Resource::cpu;  // the resource with the largest share
+    double value = 0;                   // its share; above 1 if demand exceeds capacity
 };
 
 // A machine type in one zone.
@@ -28,52 +28,55 @@
     auto operator<=>(const MachineTypeInZone&) const = default;
 };
 
-// The machines of one zone, as far as scaling out is concerned.
-struct ZoneMachines {
-    std::uint32_t reporting = 0;
-    std::uint32_t on_their_way = 0;  // requested, and not reported yet
+// The machines of one zone that scale-out limits depend on.
+struct ZoneMachineCounts {
+    std::uint32_t reporting = 0;     // schedulable
+    std::uint32_t on_their_way = 0;  // requested or booting: they have not reported yet
 };
 
-// The result of a measurement. The scaler adds to it the machines that it requests.
+// The result of a measurement. The scaler adds the machines that it requests in the same tick.
 struct FleetMeasurement {
     Utilization utilization;
-    std::vector<Bin> bins;               // of the machines that count as capacity
+    std::vector<Bin> bins;               // one for each machine that counts as capacity
     std::vector<PendingDemand> demands;  // in the order in which jobs are served
     std::map<MachineTypeInZone, std::uint32_t> registered_machines;
-    std::map<Id, ZoneMachines> zone_machines;  // by zone
+    std::map<Id, ZoneMachineCounts> zone_machine_counts;  // by zone
 };
 
-// Takes the measurement, once for each tick of the scaler.
+// Measures the fleet once per tick of the scaler.
 class UtilizationMeter {
   public:
-    // Both must outlive this object.
+    // Both references must outlive this object.
     UtilizationMeter(LeaderContext& context, const ZoneFailoverManager& zone_failover);
 
-    // Measures the fleet; valid until the next call.
+    // Measures the fleet. The result is valid until the next call.
     FleetMeasurement& measure(Ms now, const WorkerManager& workers, const CloudManager& cloud);
-    // The last measurement.
-    const FleetMeasurement& last() const { return fleet_; }
+    const FleetMeasurement& last_measurement() const { return fleet_; }
 
   private:
-    // What has been admitted of one team's pending demand.
+    // The pending demand of one team that its quota has admitted so far.
     struct TeamDemand {
         Resources admitted;
-        bool blocked = false;  // a job waits for the quota: later ones of the team wait behind it
+        // A job of the team exceeds the quota; later jobs of the team wait behind it.
+        bool blocked = false;
     };
 
-    // The machine is silent, but not for so long that it is given up.
-    bool expected_back(const Machine& machine, Ms now) const;
+    // Whether a silent machine is expected to report again: nothing shows that it failed, and
+    // either it has not been silent for long or another controller relays for its zone.
+    bool expected_to_recover(const Machine& machine, Ms now) const;
     bool many_machines_silent(Ms now, const WorkerManager& workers) const;
-    bool late_to_boot(const Machine& machine, const MachineType& machine_type, Ms now) const;
+    // Whether the machine should have reported by now, by the boot time of its type.
+    bool boot_overdue(const Machine& machine, const MachineType& machine_type, Ms now) const;
     bool counts_as_capacity(const Machine& machine, const MachineType& machine_type,
                             bool schedulable, bool many_silent, Ms now) const;
     void measure_machines(Ms now, const WorkerManager& workers);
     void measure_requested_machines(const CloudManager& cloud);
     void measure_pending_demand(Ms now);
-    // How many waiting tasks of the job the quota of its team admits, after those before it.
+    // The number of waiting tasks of the job that the quota of its team admits, after the demand
+    // already admitted. A gang is admitted as a whole or not at all.
     std::uint32_t admitted_tasks(const Job& job, TeamDemand& team_demand) const;
     bool fits_some_machine_type(const JobSpec& spec) const;
-    void find_driving_resource();
+    void find_dominant_resource();
 
     LeaderContext& context_;
     const ZoneFailoverManager& zone_failover_;
--- a/tests/scaling_test.cpp
+++ b/tests/scaling_test.cpp
@@ -1,4 +1,5 @@
-// Scaling out and in by utilization, and for machines that fall silent together.
+// Tests of the scaler: scale-out by utilization, retries of scale-out requests, and machines that
+// fall silent together.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,15 +16,16 @@
     bench.job(bench.spec("j-1", 4));
     bench.pass(1000);
     EXPECT_TRUE(bench.scale_out_requests("small") == 0 && bench.scale_out_requests("gpu") == 0)
-        << "a new leader waits one interval";
+        << "a new leader scaled out before the first interval had passed";
     bench.pass(5000);
     EXPECT_GE(bench.scale_out_requests("small"), 1);
-    EXPECT_EQ(bench.scale_out_requests("gpu"), 0) << "the driving resource is cheaper without GPUs";
-    const ScaleOutRequest h =
+    EXPECT_EQ(bench.scale_out_requests("gpu"), 0)
+        << "GPU machines cost more per core, and cores are the dominant resource";
+    const ScaleOutRequest request =
         decode_registry(*bench.written.front().writes[0].value, bench.context->names)
             ->scale_out_requests.at(0);
-    EXPECT_TRUE(h.permanent)
-        << "the first rented machine is permanent, and stands in the registry first";
+    EXPECT_TRUE(request.permanent)
+        << "the first scale-out must request permanent machines, and write the registry first";
 }
 
 TEST(Scaling, RequestsTheNextMachineTypeAtOnceAfterARefusal) {
@@ -31,91 +33,94 @@
     bench.lead({});
     bench.job(bench.spec("j-1", 4));
     bench.pass(5000);
-    std::set<std::string> tried;
+    std::set<std::string> tried_groups;
     for (int round = 0; round < 40; ++round) {
-        std::vector<CloudRequest> calls = std::move(bench.asked);
+        std::vector<CloudRequest> requests = std::move(bench.asked);
         bench.asked.clear();
-        for (const CloudRequest& c : calls) {
-            if (c.operation != CloudOperation::scale_out) {
+        for (const CloudRequest& request : requests) {
+            if (request.operation != CloudOperation::scale_out) {
                 continue;
             }
-            tried.insert(c.machine_type + c.zone + (c.spot ? "s" : "o"));
-            CloudResponse r;
-            r.call = c.call;
-            r.status = CloudCallStatus::no_capacity;
-            bench.context->cloud.reply(bench.now, r);
+            tried_groups.insert(request.machine_type + request.zone + (request.spot ? "s" : "o"));
+            CloudResponse response;
+            response.call = request.call;
+            response.status = CloudCallStatus::no_capacity;
+            bench.context->cloud.reply(bench.now, response);
         }
         bench.pass(50);
     }
-    EXPECT_EQ(tried.size(), 8U) << "two kinds, two zones, spot and ordinary, within two seconds";
+    EXPECT_EQ(tried_groups.size(), 8U)
+        << "2 machine types in 2 zones, spot and on demand, tried within 2 s";
 }
 
-TEST(Scaling, RepeatsAnUnansweredRequestUnderItsName) {
+TEST(Scaling, RepeatsAnUnansweredRequestUnderTheSameName) {
     LeaderBench bench;
     bench.lead({});
     bench.job(bench.spec("j-1", 4));
     bench.pass(5000);
     ASSERT_GE(bench.scale_out_requests("small"), 1);
     CloudRequest first;
-    for (const CloudRequest& c : bench.asked) {
-        if (c.operation == CloudOperation::scale_out) {
-            first = c;
+    for (const CloudRequest& request : bench.asked) {
+        if (request.operation == CloudOperation::scale_out) {
+            first = request;
         }
     }
     bench.asked.clear();
-    CloudResponse silence;
-    silence.call = first.call;
-    bench.context->cloud.reply(bench.now, silence);
+    CloudResponse no_answer;
+    no_answer.call = first.call;
+    bench.context->cloud.reply(bench.now, no_answer);
     bench.pass(3000);
     bool repeated = false;
-    for (const CloudRequest& c : bench.asked) {
-        repeated |=
-            c.operation == CloudOperation::scale_out && c.request_name == first.request_name;
+    for (const CloudRequest& request : bench.asked) {
+        repeated |= request.operation == CloudOperation::scale_out &&
+                    request.request_name == first.request_name;
     }
     EXPECT_TRUE(repeated);
 }
 
-// Twelve machines of twenty fall silent together and are back after their lease. A second fleet
-// would be up when they are back; one that stays away is replaced.
-TEST(Scaling, DoesNotReplaceMachinesThatFallSilentTogether) {
-    for (std::size_t silent : {std::size_t{12}, std::size_t{3}}) {
-        LeaderBench bench([](LeaderBench& b) {
-            b.operator_settings.mark_low = 0.8;
-            b.operator_settings.mark_high = 0.95;
-            b.platform_settings.teams[0].quota = {0, 0, 0};
+// Guards against replacing machines that hang or are partitioned together and recover soon after
+// their lease has ended: the replacements would be up only when the machines are back. If 12 of 20
+// fall silent, nothing is requested in the first 29 s, but replacements are once the machines stay
+// silent; if 3 of 20 do, replacements are requested within the 29 s.
+TEST(Scaling, ReplacesMachinesThatFallSilentTogetherOnlyIfTheyStaySilent) {
+    for (std::size_t silent_count : {std::size_t{12}, std::size_t{3}}) {
+        LeaderBench bench([](LeaderBench& leader_bench) {
+            leader_bench.operator_settings.mark_low = 0.8;
+            leader_bench.operator_settings.mark_high = 0.95;
+            leader_bench.platform_settings.teams[0].quota = {0, 0, 0};
         });
-        std::vector<std::pair<std::string, int>> hosts;
-        hosts.reserve(20);
+        std::vector<std::pair<std::string, int>> machines;
+        machines.reserve(20);
         for (int i = 0; i < 20; ++i) {
-            hosts.emplace_back("host-" + std::to_string(10 + i), 0);
+            machines.emplace_back("host-" + std::to_string(10 + i), 0);
         }
-        bench.lead(hosts);
+        bench.lead(machines);
         bench.job(bench.spec("j-work", 8, 19));
         bench.pass(500);
-        auto all_heartbeat = [&](std::size_t from) {
-            for (std::size_t i = from; i < hosts.size(); ++i) {
+        auto send_heartbeats_from = [&](std::size_t first_machine) {
+            for (std::size_t i = first_machine; i < machines.size(); ++i) {
                 std::vector<ReportedTask> tasks;
-                for (std::uint32_t t = 0; t < 19; ++t) {
-                    if (bench.where("j-work", t) == hosts[i].first) {
-                        tasks.push_back({"j-work", t, 1, TaskState::running, "", false});
+                for (std::uint32_t task = 0; task < 19; ++task) {
+                    if (bench.where("j-work", task) == machines[i].first) {
+                        tasks.push_back({"j-work", task, 1, TaskState::running, "", false});
                     }
                 }
-                bench.heartbeat(hosts[i].first, tasks);
+                bench.heartbeat(machines[i].first, tasks);
             }
         };
-        all_heartbeat(0);
-        all_heartbeat(0);
-        Ms began = bench.now;
-        int early = 0;
-        while (bench.now < began + 60000) {
+        send_heartbeats_from(0);
+        send_heartbeats_from(0);
+        Ms start = bench.now;
+        int early_requests = 0;
+        while (bench.now < start + 60000) {
             bench.pass(1000);
-            all_heartbeat(silent);
-            if (bench.now <= began + 29000) {
-                early = bench.scale_out_requests("small");
+            send_heartbeats_from(silent_count);
+            if (bench.now <= start + 29000) {
+                early_requests = bench.scale_out_requests("small");
             }
         }
-        EXPECT_EQ(early > 0, silent == 3) << silent;
-        EXPECT_GT(bench.scale_out_requests("small"), 0) << silent;
+        EXPECT_EQ(early_requests > 0, silent_count == 3) << silent_count << " silent machines";
+        EXPECT_GT(bench.scale_out_requests("small"), 0) << silent_count << " silent machines";
     }
 }
 
