--- a/src/coordination/context/controller_context.hpp
+++ b/src/coordination/context/controller_context.hpp
@@ -1,5 +1,5 @@
-// What the modules of one controller share: settings, the replica of the state service, clients,
-// and the outputs of the current step.
+// State shared by the modules of one controller: settings, the replica of the store, clients, and
+// the outputs of the current step.
 #pragma once
 
 #include <algorithm>
@@ -17,10 +17,11 @@
 
 namespace walkford {
 
-// Owned by the Controller; every module below it holds a reference. Lives as long as the process.
+// Owned by the Controller. Every module of the controller holds a reference to it. Lives as long as
+// the process.
 struct ControllerContext {
-    // `seed`: of the random delays. Interns the names of teams and zones in the order of the
-    // settings, so that their ids are indices there.
+    // `seed`: seeds the generator of random delays. Interns the names of teams and zones in the
+    // order of the settings, so that their ids are also indices into the settings.
     ControllerContext(PlatformSettings platform, OperatorSettings operators, std::uint64_t seed)
         : platform_settings(std::move(platform)),
           operator_settings(std::move(operators)),
@@ -43,32 +44,36 @@
     StoreClient store;
     CloudClient cloud;
     PendingCalls<WorkerResponse> workers;
-    std::uint32_t cluster_level = kFeatureNone;  // the lowest of all controllers, see FeatureLevel
-    std::vector<MachineType> machine_types;      // empty: not known yet
+    std::uint32_t cluster_level = kFeatureNone;  // lowest of all controllers; see FeatureLevel
+    std::vector<MachineType> machine_types;      // empty until loaded
     std::mt19937_64 rng;
     Outputs out;  // of the current step
 
-    // Reads microseconds spent; injected, so that tests are reproducible.
+    // Returns a monotonic time in microseconds. It is injected so that tests are reproducible; the
+    // default always returns 0.
     std::function<std::int64_t()> stopwatch = [] { return 0; };
 
-    // May stored forms of that feature level be written? Only once all controllers read them.
+    // Whether records in the format of this feature level may be written. They may be only once all
+    // controllers can read that format.
     bool may_write(std::uint32_t feature) const {
         return cluster_level >= feature && platform_settings.feature_level >= feature;
     }
-    // All controllers once ran a later version than this one.
+    // Whether all controllers have at some time run a later version than this one, so that stored
+    // records may have a format that this version can't read.
     bool newer_than_supported() const { return cluster_level > platform_settings.feature_level; }
 
-    // How long after the replica was confirmed a heartbeat may be answered: all leases that such an
-    // answer renews are over by cancel_s after the confirmation. (A lease, clock drift, and what
-    // heartbeat and answer take on their way.)
+    // How long after the replica was last confirmed to be current a worker's heartbeat may be
+    // answered. Such an answer renews the worker's lease, and that lease must expire no later than
+    // cancel_s after the confirmation. The span is therefore cancel_s less one lease, the possible
+    // clock drift during that lease, and the transit time of the heartbeat and its answer.
     Ms cancel_span() const {
-        constexpr Ms kTransit = 2500;
+        constexpr Ms kHeartbeatTransit = 2500;
         Ms span = to_ms(platform_settings.cancel_s) - with_drift(to_ms(platform_settings.lease_s)) -
-                  kTransit;
+                  kHeartbeatTransit;
         return std::max<Ms>(0, span);
     }
 
-    // Draws a random delay from 0 to `most`.
+    // Draws a random delay between 0 and `most`, inclusive.
     Ms jitter(Ms most) { return std::uniform_int_distribution<Ms>(0, most)(rng); }
 };
 
--- a/src/coordination/context/pending_calls.hpp
+++ b/src/coordination/context/pending_calls.hpp
@@ -1,4 +1,4 @@
-// Open calls of a controller, and the callbacks that wait for their responses.
+// Calls of a controller that have no response yet, and the callbacks for their responses.
 #pragma once
 
 #include <functional>
@@ -8,30 +8,31 @@
 
 namespace walkford {
 
-// Matches responses to calls by their CallId; a response to a call that is not open is ignored.
-// `Response` needs a member `call`.
+// Matches responses to pending calls by their CallId. A response to a call that is not pending is
+// ignored. `Response` must have a member `call` of type CallId.
 template <typename Response>
 class PendingCalls {
   public:
-    // Called with the time of the response, and the response.
+    // Called with the time at which the response arrived, and the response.
     using Then = std::function<void(Ms, const Response&)>;
 
-    // Opens a call, and returns the id to send with it.
-    CallId open(Then then) {
+    // Registers a pending call and returns the id to send with it.
+    CallId open(Then callback) {
         CallId call = next_call_++;
-        pending_.emplace(call, std::move(then));
+        pending_.emplace(call, std::move(callback));
         return call;
     }
-    // Closes the call that the response belongs to, then runs its callback.
+    // Removes the pending call that the response belongs to, then runs its callback.
     void reply(Ms now, const Response& response) {
         auto entry = pending_.find(response.call);
         if (entry == pending_.end()) {
             return;
         }
-        // The callback may open further calls: the entry must be gone before.
-        Then then = std::move(entry->second);
+        // The callback may register further calls, which invalidates the iterator. Therefore the
+        // entry is removed before the callback runs.
+        Then callback = std::move(entry->second);
         pending_.erase(entry);
-        then(now, response);
+        callback(now, response);
     }
 
   private:
--- a/src/coordination/controller/activity_times.hpp
+++ b/src/coordination/controller/activity_times.hpp
@@ -1,14 +1,14 @@
-// Times of a controller process that several of its modules report or compare with.
+// Times of events in a controller process, which several of its modules use.
 #pragma once
 
 #include "bookkeeping/types.hpp"
 
 namespace walkford {
 
-// Owned and updated by the Controller; -1 until the event has happened for the first time.
+// Owned and updated by the Controller. A time is -1 until its event first happens.
 struct ActivityTimes {
-    Ms started_at = -1;                    // the first step of this process
-    Ms worker_heartbeat_received_at = -1;  // a worker last sent this controller a heartbeat
+    Ms started_at = -1;                    // first step of this process
+    Ms worker_heartbeat_received_at = -1;  // last heartbeat from any worker
 };
 
 }  // namespace walkford
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -9,22 +9,23 @@
 namespace walkford {
 
 namespace {
-constexpr Ms kTick = 50;
-constexpr Ms kIdleTick = 250;
-// Changes that arrive within this span share one response of the state service. A leader's replica
-// must be close to what it wrote (see cancellations_known_until); a follower confirms its replica
-// whenever a user asks.
+constexpr Ms kTickInterval = 50;
+constexpr Ms kIdleTickInterval = 250;
+// The store returns the changes made within this span in one response. A leader's replica must lag
+// only briefly behind the leader's own writes (see cancellations_known_until). A follower's replica
+// may lag longer, because a follower confirms it for every user request that needs it.
 constexpr Ms kLeaderWatchSpacing = 40;
 constexpr Ms kFollowerWatchSpacing = 500;
 constexpr Ms kConfirmInterval = 1000;
-// How long a deposed leader leaves elections to others: one that no worker reaches ...
-constexpr Ms kStandBackUnreachable = 15000;
-// ... and one that resigned for another reason.
-constexpr Ms kStandBackResigned = 3000;
-constexpr Ms kUnreadyFor = 2500;
+// How long a leader that stepped down starts no campaign, so that another controller is elected:
+// after it stepped down because no worker reaches it, and after it resigned for another reason.
+constexpr Ms kNoCampaignAfterUnreachable = 15000;
+constexpr Ms kNoCampaignAfterResignation = 3000;
+constexpr Ms kUnreadyDuration = 2500;
 
-// When more arrives at once than there is processor for: what keeps leases alive and confirms the
-// replica goes first, then workers, then health checks and users.
+// The order in which inputs are handled under overload. Inputs that keep leases alive or confirm
+// the replica come first, then those of workers and the cloud, then health checks, then user
+// requests.
 enum class InputPriority : std::uint8_t { liveness, workers, health_check, users };
 
 InputPriority priority_of(const StoreResponse&) { return InputPriority::liveness; }
@@ -42,7 +43,7 @@
     return std::visit([](const auto& typed_input) { return priority_of(typed_input); }, input);
 }
 
-// Stable: messages of one sender keep their order.
+// Sorts the inputs by priority. The sort is stable, so messages of one sender keep their order.
 std::vector<const Input*> by_priority(const std::vector<Input>& inputs) {
     std::vector<const Input*> ordered;
     ordered.reserve(inputs.size());
@@ -77,8 +78,8 @@
     if (times_.started_at < 0) {
         times_.started_at = now;
     }
-    // After a pause the lease and the replica may be out of date: nothing is done on the authority
-    // of an earlier step.
+    // After a pause of the process, the lease may have expired and the replica may be out of date.
+    // The leader's authority is therefore recomputed before any input is handled.
     set_authority(now);
     for (const Input* input : by_priority(inputs)) {
         std::visit([&](const auto& typed_input) { handle(now, typed_input); }, *input);
@@ -123,14 +124,14 @@
     HeartbeatResponse response;
     response.request = heartbeat.request;
     if (leadership_.leading()) {
-        // Elected, but the cluster state is still being built.
+        // This controller has been elected but is still building the cluster state.
         response.code = http_status::kServiceUnavailable;
         context_.out.emplace_back(std::move(response));
         return;
     }
     response.code = http_status::kMisdirectedRequest;
     const std::string& leader = leadership_.known_leader();
-    // A leader that may have ceased to lead long ago is not named.
+    // If the known leader may have been replaced long ago, it is not named.
     bool leader_is_current =
         !leader.empty() && leader != context_.platform_settings.controller_name &&
         !reachability_.isolated(now) &&
@@ -142,7 +143,8 @@
 }
 
 void Controller::on_elected(Ms now) {
-    // At once, so that a deposed leader that only peers reach learns of it.
+    // Heartbeats are sent at once, so that an earlier leader that only its peers reach learns of
+    // the higher fencing token.
     peer_heartbeats_.schedule(now);
     watcher_.set_watch_spacing(kLeaderWatchSpacing);
     watcher_.barrier(now,
@@ -156,7 +158,7 @@
         return;
     }
     if (!confirmed || context_.replica.revision() < fencing_token) {
-        leadership_.depose(now, "the state could not be read after the election");
+        leadership_.depose(now, "the store could not be read after the election");
         return;
     }
     leader_ = std::make_unique<Leader>(context_, fencing_token, now);
@@ -166,7 +168,8 @@
 
 void Controller::connect_leader(LeaderContext& leader_context) {
     leader_context.depose = [this](Ms, const char* reason) {
-        // Not at once: the caller is a module of the leader, which deposition destroys.
+        // The caller is a module of the leader, which deposition destroys. The request is therefore
+        // only recorded here and executed by depose_if_requested.
         depose_requested_ = true;
         deposition_reason_ = reason;
     };
@@ -181,25 +184,26 @@
     watcher_.set_watch_spacing(kFollowerWatchSpacing);
 }
 
-// Called where no module of the leader is on the stack.
+// Must be called while no function of the leader is on the call stack, because it may destroy the
+// leader.
 void Controller::depose_if_requested(Ms now) {
     if (!depose_requested_) {
         return;
     }
     depose_requested_ = false;
     leadership_.depose(now, deposition_reason_.c_str());
-    // A leader that resigned lets others try first.
-    leadership_.stand_back(now + (peer_heartbeats_.no_peers() ? 0 : kStandBackResigned));
+    // Gives the other controllers time to be elected first.
+    leadership_.stand_back(now + (peer_heartbeats_.no_peers() ? 0 : kNoCampaignAfterResignation));
 }
 
-// On a small controller a wake-up costs more than what is done in it: an idle follower with no open
-// request and nothing due wakes a few times a second. (Wake-ups were 37% of such a controller's
-// processor time.)
+// On a small controller, a wake-up costs more than the work done in it; wake-ups took 37% of the
+// CPU time of such a controller. An idle follower, with no open request and no queued transaction,
+// therefore wakes only when something is due or a few times per second.
 Ms Controller::wake_at(Ms now) const {
     if (!leadership_.following() || !users_.idle() || context_.store.queued() > 0) {
-        return now + kTick;
+        return now + kTickInterval;
     }
-    Ms due = std::min({now + kIdleTick, peer_heartbeats_.due(), watcher_.due()});
+    Ms due = std::min({now + kIdleTickInterval, peer_heartbeats_.due(), watcher_.due()});
     return std::max(due, now + 1);
 }
 
@@ -231,7 +235,8 @@
     }
 }
 
-// A snapshot does not tell which jobs changed: any may have, and some may be gone.
+// A snapshot does not show which jobs have changed or were deleted, so all jobs in the snapshot and
+// all jobs in the cluster state are reported as changed.
 void Controller::notify_leader_of_all_jobs(Ms now) {
     std::vector<std::string> job_ids;
     for (const auto& [job_id, job] : context_.replica.jobs()) {
@@ -247,18 +252,20 @@
     }
 }
 
-// The last moment up to which our replica certainly includes every cancellation that any controller
-// acknowledged to a user: that of our own last confirmed read, or the one that the heartbeats of
-// all peers show. Whatever a process answers rests on what the state service answered it, so one
-// that has been answered nothing newer than our replica holds has acknowledged nothing that we
-// don't know. (docs/design.md has the proof.)
+// Returns the latest time up to which this controller's replica is known to include every
+// cancellation that any controller has acknowledged to a user. That is the time of this
+// controller's last confirmed read, or the time shown by the heartbeats of all peers if that is
+// later. A controller acknowledges a cancellation only on a response of the store. So a peer that
+// has seen no revision newer than this replica's has acknowledged no cancellation that the replica
+// lacks. (docs/design.md has the proof.)
 Ms Controller::cancellations_known_until() {
     Ms confirmed_at = watcher_.confirmed_at();
     if (confirmed_at < 0 || peer_heartbeats_.no_peers()) {
         return confirmed_at;
     }
     std::uint64_t replica_revision = context_.replica.revision();
-    // What we acknowledged ourselves may not have come back by the watch before an outage began.
+    // The store's watch may not have returned this controller's own latest writes before an outage
+    // began, so they may be missing from the replica.
     if (replica_revision < context_.store.seen_revision()) {
         return confirmed_at;
     }
@@ -284,7 +291,7 @@
     users_.tick(now);
     confirm_replica(now);
     set_authority(now);
-    stand_down_if_workers_unreachable(now);
+    step_down_if_workers_unreachable(now);
     if (leader_) {
         leader_->tick(now);
     }
@@ -292,7 +299,8 @@
     update_readiness(now);
 }
 
-// Shows a leader every second that no cancellation was missed, whatever the watch does.
+// Confirms once per second by a read barrier that the leader's replica has missed no cancellation,
+// even if the watch fails.
 void Controller::confirm_replica(Ms now) {
     if (leader_ && now >= confirm_at_) {
         confirm_at_ = now + kConfirmInterval;
@@ -300,27 +308,28 @@
     }
 }
 
-void Controller::stand_down_if_workers_unreachable(Ms now) {
+void Controller::step_down_if_workers_unreachable(Ms now) {
     std::optional<Ms> elected_at;
     if (leader_) {
         elected_at = leader_->context().elected_at;
     }
     if (reachability_.workers_reach_only_others(now, elected_at)) {
-        leadership_.depose(now, "no worker reaches us, others are reached");
-        leadership_.stand_back(now + kStandBackUnreachable);
+        leadership_.depose(now, "no worker reaches this controller, but workers reach its peers");
+        leadership_.stand_back(now + kNoCampaignAfterUnreachable);
     }
 }
 
 void Controller::update_readiness(Ms now) {
-    // The load balancer waits twice as long each time a controller leaves: once out of service, it
-    // stays out for a while.
+    // The load balancer doubles its waiting time each time a controller goes out of service.
+    // Frequent changes are avoided: a controller stays out of service for at least
+    // kUnreadyDuration.
     if (reachability_.store_refuses_only_us(now)) {
-        unready_until_ = now + kUnreadyFor;
+        unready_until_ = now + kUnreadyDuration;
     }
     bool is_ready = ready(now);
     if (is_ready != was_ready_) {
         was_ready_ = is_ready;
-        spdlog::info("{} for users", is_ready ? "ready" : "not ready");
+        spdlog::info("{} to serve user requests", is_ready ? "ready" : "not ready");
     }
 }
 
--- a/src/coordination/controller/controller.hpp
+++ b/src/coordination/controller/controller.hpp
@@ -1,6 +1,6 @@
-// One controller: a deterministic state machine. step() takes inputs and returns what to send,
-// write and answer; it knows no socket and no clock, so the same inputs always give the same
-// outputs.
+// A controller as a deterministic state machine. step() takes inputs and returns the messages to
+// send, the records to write and the responses to give. It uses no socket and reads no clock, so
+// the same inputs always produce the same outputs.
 #pragma once
 
 #include "coordination/controller/activity_times.hpp"
@@ -14,37 +14,38 @@
 
 namespace walkford {
 
-// Owns all modules of a controller process: those that every controller runs (replica of the state
-// service, election, peers, user requests) and, while it leads, the Leader. Driven by the event
-// loop of the process, or by a simulated world in tests.
+// Owns all modules of a controller process: those that every controller runs (store replica, leader
+// election, peer heartbeats, user requests) and, while this controller leads, the Leader. Driven by
+// the event loop of the process, or by a simulation in tests.
 class Controller {
   public:
-    // `seed`: of the random delays that keep controllers from retrying in step.
+    // `seed`: seeds the random delays that keep controllers from retrying at the same time.
     Controller(PlatformSettings platform_settings, OperatorSettings operator_settings,
                std::uint64_t seed);
 
-    // Takes in all inputs that arrived together, the most urgent first, then decides once for all
-    // of them. `now` never goes back between calls. The last output is the WakeAt by which step()
-    // is to be called again if no input arrives before.
+    // Handles all inputs that arrived together in order of priority, then runs all periodic work
+    // once. `now` must not decrease between calls. The last output is a WakeAt: the time at which
+    // step() must be called again if no input arrives earlier.
     Outputs step(Ms now, const std::vector<Input>& inputs);
-    // The same for a single input.
+    // Handles a single input.
     Outputs step(Ms now, const Input& input) { return step(now, std::vector<Input>{input}); }
 
-    // Injects a clock in microseconds by which the leader limits the time of a placement round;
-    // without one it reads 0 always.
+    // Sets the clock, in microseconds, with which the leader limits the duration of a placement
+    // round. The default clock always returns 0, so that rounds have no time limit.
     void set_stopwatch(std::function<std::int64_t()> microseconds) {
         context_.stopwatch = std::move(microseconds);
     }
-    // Elected, and the cluster state has been built.
+    // Whether this controller has been elected and has built the cluster state.
     bool leading() const { return leader_ != nullptr; }
-    // May users be sent here? False while recovering, isolated, refused by the state service alone,
-    // or older than what the cluster's feature level demands.
+    // Whether this controller can serve user requests. False while it recovers, while it is
+    // isolated, while the store refuses this controller but not its peers, and while the feature
+    // level of the cluster is higher than this version supports.
     bool ready(Ms now) const;
-    // This controller's copy of the state service.
+    // This controller's replica of the store.
     const StoreReplica& replica() const { return context_.replica; }
     // The interned names of teams, zones, machine types, classes and images.
     Names& names() { return context_.names; }
-    // The leader's cluster state, for checks from outside; null unless leading.
+    // The leader's cluster state, for checks in tests. Null unless leading.
     const ClusterState* cluster() const { return leader_ ? &leader_->context().cluster : nullptr; }
 
   private:
@@ -60,23 +61,24 @@
     void handle(Ms now, const PeerInput& input) {
         peer_heartbeats_.receive(now, input.peer, input.fact);
     }
-    // Points a worker to the leader, as far as it is known.
+    // Responds to a worker's heartbeat with the name of the leader, if it is known.
     void redirect_worker(Ms now, const HeartbeatRequest& heartbeat);
 
     void on_elected(Ms now);
     void on_deposed();
-    // Builds the cluster state once a read barrier shows that the replica includes our election.
+    // Builds the cluster state once a read barrier has confirmed that the replica contains this
+    // controller's election. `confirmed`: the result of the read barrier.
     void start_leader(Ms now, std::uint64_t fencing_token, bool confirmed);
     void connect_leader(LeaderContext& leader_context);
     void depose_if_requested(Ms now);
-    // `key`: the changed key; empty after a whole snapshot was loaded.
+    // `key`: the changed key; empty after a complete snapshot was loaded.
     void replica_changed(Ms now, const std::string& key);
     void load_machine_types();
     void notify_leader_of_all_jobs(Ms now);
 
     void tick(Ms now);
     void confirm_replica(Ms now);
-    void stand_down_if_workers_unreachable(Ms now);
+    void step_down_if_workers_unreachable(Ms now);
     void update_readiness(Ms now);
     Ms cancellations_known_until();
     void set_authority(Ms now);
@@ -92,7 +94,7 @@
     PeerHeartbeats peer_heartbeats_;
     Reachability reachability_;
     std::unique_ptr<Leader> leader_;
-    Ms confirm_at_ = 0;  // when a leader next confirms that its replica is current
+    Ms confirm_at_ = 0;  // when the leader next confirms that its replica is current
     bool was_ready_ = false;
     Ms unready_until_ = 0;
     std::string deposition_reason_;
--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Within which a job is to start where neither an objective nor a deadline says so.
+// Time in which a job should start if neither an objective nor a deadline determines it.
 constexpr double kDefaultStartBudgetSeconds = 600;
 constexpr double kServiceStartBudgetSeconds = 5;
 
-// How long after its submission the job is to start: by its class's start latency objective, or so
-// that it meets its deadline.
+// Returns how long after its submission the job should start, so that it meets both the start
+// latency objective of its class and its deadline.
 Ms start_budget(const ControllerContext& controller, const JobSpec& spec) {
     double budget_s = kDefaultStartBudgetSeconds;
     if (spec.service()) {
@@ -44,12 +44,12 @@
       job_completion_(context_) {
     load_cluster_state(now);
     job_completion_.delete_orphaned_records();
-    std::size_t placed = 0;
+    std::size_t placed_tasks = 0;
     for (const Machine& machine : context_.cluster.machines) {
-        placed += machine.tasks.size();
+        placed_tasks += machine.tasks.size();
     }
-    spdlog::info("term {} begins: {} jobs, {} machines, {} tasks placed", fencing_token,
-                 controller.replica.jobs().size(), context_.cluster.machines.size(), placed);
+    spdlog::info("leader term {} started: {} jobs, {} machines, {} placed tasks", fencing_token,
+                 controller.replica.jobs().size(), context_.cluster.machines.size(), placed_tasks);
 }
 
 Leader::~Leader() { context_.controller.cloud.clear(); }
@@ -63,7 +63,7 @@
             return start_budget(controller, spec);
         };
     }
-    // Machines first: placement records refer to them.
+    // Machines are loaded first, because placement records refer to them.
     cloud_.load(now);
     for (const auto& [name, stored_job] : controller.replica.jobs()) {
         cluster.load_job(stored_job, controller.replica.placement_records(name), now);
@@ -91,7 +91,8 @@
     const StoredJob* stored_job = context_.controller.replica.job(id);
     Id job_id = cluster.find_job(id);
     if (!stored_job) {
-        // Only a leader's own transaction deletes a job, once all its tasks are gone or done.
+        // Only a leader's own transaction deletes a job record, after every task has finished or
+        // has been removed from its machine.
         if (job_id != kNone && cluster.jobs[job_id].assigned == 0) {
             cluster.remove_job(job_id);
         }
@@ -107,7 +108,7 @@
     if (stored_job->record.cancelled && !job.cancelled) {
         job.cancelled = true;
         lifecycle_.stop_job(job_id, 0, now, true);
-        spdlog::debug("{} cancelled, {} tasks to stop", id, job.assigned);
+        spdlog::debug("job {} cancelled: {} tasks to stop", id, job.assigned);
     }
 }
 
@@ -119,7 +120,8 @@
     if (context_.holds_lease) {
         placer_.round(now, workers_);
         scaler_.tick(now, workers_, cloud_);
-        // Writes are the scarcest resource while a zone is evacuated: displaced work goes first.
+        // While a zone is being evacuated, store writes are the scarcest resource, so the
+        // placements of displaced work are written first.
         PlacementWriter::WriteOrder order;
         if (zone_failover_.evacuating()) {
             order = [this](Id job_id) { return zone_failover_.evacuation_position(job_id); };
--- a/src/coordination/controller/leader.hpp
+++ b/src/coordination/controller/leader.hpp
@@ -1,4 +1,4 @@
-// What only the leader does: the cluster state, placement, scaling, and the dialogues with the
+// The leader's part of a controller: cluster state, placement, scaling, and communication with the
 // workers and the cloud.
 #pragma once
 
@@ -14,31 +14,34 @@
 
 namespace walkford {
 
-// Composes the subsystems of a leader and passes inputs to them. The controller creates it when it
-// is elected and destroys it when it is deposed: nothing in it outlives its fencing token.
+// Owns the subsystems of a leader and passes inputs to them. The Controller creates the Leader when
+// it is elected and destroys it when it is deposed, so that no leader state outlives its fencing
+// token.
 class Leader {
   public:
-    // Builds the cluster state from the controller's replica of the store. The callbacks of
+    // Builds the cluster state from the controller's replica of the store. The callbacks in
     // context() must be set before the first input is passed in.
     Leader(ControllerContext& controller, std::uint64_t fencing_token, Ms now);
-    // Answers the open heartbeats with 503 and drops the calls to the cloud that were not sent.
+    // Responds to the heartbeats that are still open with 503 and drops the calls to the cloud that
+    // have not been sent yet.
     ~Leader();
     Leader(const Leader&) = delete;
     Leader& operator=(const Leader&) = delete;
 
-    // Sets what the leader may do until the next call; see LeaderContext for the three values.
+    // Sets what the leader is allowed to do until the next call. LeaderContext describes the three
+    // values.
     void set_authority(bool holds_lease, Ms heartbeat_answer_deadline, Ms view_confirmed_until);
 
-    // Runs every subsystem whose work is due. Called after each batch of inputs.
+    // Runs the periodic work of all subsystems. Called after each batch of inputs.
     void tick(Ms now);
 
-    // The replica has a new version of the job's record, or has it no longer.
+    // Must be called when the job's record in the replica has changed or has been deleted.
     void job_changed(Ms now, const std::string& id);
 
-    // A worker reports; the response is emitted now or at a later tick.
+    // Handles a worker's heartbeat. The response is emitted now or in a later tick.
     void heartbeat(Ms now, const HeartbeatRequest& heartbeat);
 
-    // For the controller, which sets the callbacks and reads the cluster state.
+    // For the Controller, which sets the callbacks and reads the cluster state.
     LeaderContext& context() { return context_; }
 
   private:
--- a/src/coordination/controller/peer_heartbeats.cpp
+++ b/src/coordination/controller/peer_heartbeats.cpp
@@ -5,10 +5,11 @@
 namespace {
 constexpr Ms kInterval = 1000;
 constexpr Ms kIntervalWithoutLeader = 500;
-// Two followers exchange only every so many-th heartbeat.
+// Two followers exchange a heartbeat only in every second interval.
 constexpr std::uint64_t kIntervalsBetweenFollowers = 2;
 
-// How long ago `event_at` was, as sent on the wire; -1: it has not happened.
+// Returns the time since `event_at` as encoded in a PeerHeartbeat; -1 if the event has not
+// happened.
 std::int64_t elapsed_since(Ms event_at, Ms now) { return event_at < 0 ? -1 : now - event_at; }
 }  // namespace
 
--- a/src/coordination/controller/peer_heartbeats.hpp
+++ b/src/coordination/controller/peer_heartbeats.hpp
@@ -1,4 +1,5 @@
-// Heartbeats between controllers: when to send one, what it carries, and what received ones show.
+// Heartbeats between controllers: schedules and builds the sent ones and evaluates the received
+// ones.
 #pragma once
 
 #include <algorithm>
@@ -15,35 +16,35 @@
 // references must outlive it.
 class PeerHeartbeats {
   public:
-    // One monitor for each peer in the settings.
+    // Creates one monitor for each peer in the settings.
     PeerHeartbeats(ControllerContext& context, Leadership& leadership, const ActivityTimes& times);
 
-    // Sends heartbeats when they are due.
+    // Sends heartbeats if they are due.
     void tick(Ms now);
-    // Makes the next ones due at `at`.
+    // Schedules the next heartbeats for the time `at`.
     void schedule(Ms at) { send_at_ = at; }
-    // When the next ones are due.
+    // When the next heartbeats are due.
     Ms due() const { return send_at_; }
-    // Takes in a heartbeat of the peer with that index. Late and repeated ones, and those of an
-    // unknown peer, are ignored. A higher fencing token in it deposes this controller.
+    // Handles a heartbeat from the peer with this index. Late and duplicate heartbeats and those of
+    // an unknown peer are ignored. A heartbeat with a higher fencing token deposes this controller.
     void receive(Ms now, std::size_t peer, const PeerHeartbeat& heartbeat);
 
-    // Is this the only configured controller?
+    // Whether this is the only configured controller.
     bool no_peers() const { return monitors_.empty(); }
-    // Was a heartbeat of the peer with that index received within `span`?
+    // Whether a heartbeat from the peer with this index was received within the last `span`.
     bool received_within(Ms now, std::size_t peer, Ms span) const {
         return monitors_.at(peer).received_within(now, span);
     }
-    // What is known of each peer.
+    // The monitors of all peers, by index.
     const std::vector<PeerMonitor>& monitors() const { return monitors_; }
-    // Until when every response that any peer gave a user is covered by our replica; the lowest of
-    // PeerMonitor::responses_covered_until.
+    // The time up to which this controller's replica covers every response that any peer has given
+    // to a user: the minimum of PeerMonitor::responses_covered_until over all peers.
     Ms responses_covered_until(Ms confirmed_at, std::uint64_t replica_revision);
 
   private:
     void send_all(Ms now);
-    // Between two followers fewer heartbeats suffice, as nothing depends on them while a leader
-    // lives.
+    // Whether this controller and the peer both follow a known leader. Two followers exchange fewer
+    // heartbeats, because nothing depends on these while the leader is alive.
     bool both_follow(std::size_t peer) const;
     PeerHeartbeat build(Ms now, const PeerMonitor& monitor) const;
 
--- a/src/coordination/controller/reachability.cpp
+++ b/src/coordination/controller/reachability.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 constexpr Ms kIsolatedAfter = 4000;
-constexpr Ms kLeaderSilentAfter = 5000;  // longer than the leader's key outlives it
-// What a peer reports of itself counts while its heartbeat is no older than this.
+constexpr Ms kLeaderSilentAfter = 5000;  // longer than the leader key outlives its leader
+// A peer's report on itself is valid while its heartbeat is no older than this.
 constexpr Ms kPeerReportValidFor = 1500;
 constexpr int kFailuresToSuspectStore = 3;
 constexpr Ms kStoreQuietAfter = 1500;
 constexpr Ms kWorkersSilentAfter = 8000;
-// A peer counts as reached by workers if one sent it a heartbeat within this span.
+// Workers reach a peer if at least one has sent it a heartbeat within this span.
 constexpr Ms kWorkersReachPeerWithin = kWorkersSilentAfter / 3;
-constexpr Ms kConfirmWorkersReachOthers = 3000;
+constexpr Ms kWorkersReachOthersConfirmAfter = 3000;
 }  // namespace
 
 Reachability::Reachability(const ControllerContext& context, const Leadership& leadership,
@@ -62,7 +62,8 @@
 }
 
 bool Reachability::workers_reach_only_others(Ms now, std::optional<Ms> elected_at) {
-    // Workers have yet to find a new leader: that it received nothing as a follower says nothing.
+    // Workers need time to find a new leader, so the silence is measured from the election at the
+    // earliest: as a follower, this controller received no heartbeats anyway.
     if (!elected_at ||
         now - std::max(times_.worker_heartbeat_received_at, *elected_at) < kWorkersSilentAfter ||
         !workers_reach_a_peer(now)) {
@@ -72,9 +73,9 @@
     if (workers_reach_only_others_since_ < 0) {
         workers_reach_only_others_since_ = now;
     }
-    // The first machine of a new cluster may ask another controller first, and is then redirected
-    // to us.
-    return now - workers_reach_only_others_since_ >= kConfirmWorkersReachOthers;
+    // The condition must hold for a while: the first worker of a new cluster may contact another
+    // controller first and is then redirected to this one.
+    return now - workers_reach_only_others_since_ >= kWorkersReachOthersConfirmAfter;
 }
 
 bool Reachability::workers_reach_a_peer(Ms now) const {
--- a/src/coordination/controller/reachability.hpp
+++ b/src/coordination/controller/reachability.hpp
@@ -1,5 +1,5 @@
-// Which partitions this controller is on the wrong side of, judged from its own contacts and from
-// what peers report of theirs.
+// Detects network partitions that cut this controller off, from the responses and heartbeats that
+// it receives and from what its peers report about theirs.
 #pragma once
 
 #include <optional>
@@ -11,24 +11,25 @@
 
 namespace walkford {
 
-// Asked by the Controller in each step; sends nothing. All references must outlive it.
+// Queried by the Controller in each step; sends no messages. All references must outlive it.
 class Reachability {
   public:
     Reachability(const ControllerContext& context, const Leadership& leadership,
                  const PeerHeartbeats& peers, const ActivityTimes& times);
 
-    // Neither the state service nor any other controller is reached: what is known of the others is
-    // out of date. Never so without peers.
+    // Whether this controller reaches neither the store nor any other controller, so that its
+    // knowledge of the others is out of date. Always false without peers.
     bool isolated(Ms now) const;
-    // The state service refuses this controller while it serves a peer. An outage that all
-    // controllers see takes none of them out of service; this one does.
+    // Whether the store refuses this controller while it serves a peer. Such a controller is taken
+    // out of service. An outage of the store for all controllers takes none of them out of service.
     bool store_refuses_only_us(Ms now) const;
-    // Another controller leads by the state service, but no heartbeat of it has been received for
-    // longer than the key of a leader that ended would stand.
+    // Whether another controller leads according to the store, but no heartbeat from it has been
+    // received for longer than the leader key outlives a leader that has stopped.
     bool leader_silent(Ms now) const;
-    // A leader that no worker reaches while workers reach other controllers: cut off from its
-    // workers only, it would keep its lease while theirs expire. `elected_at`: empty when not
-    // leading. To be called in every step, as it measures how long that has been so.
+    // Whether no worker reaches this leader while workers reach other controllers. A leader that is
+    // cut off only from its workers would keep its own lease while the leases of the workers
+    // expire. `elected_at`: nullopt unless leading. Must be called in every step, because it
+    // measures how long the condition has held.
     bool workers_reach_only_others(Ms now, std::optional<Ms> elected_at);
 
   private:
@@ -38,7 +39,7 @@
     const Leadership& leadership_;
     const PeerHeartbeats& peers_;
     const ActivityTimes& times_;
-    Ms workers_reach_only_others_since_ = -1;  // -1: they don't
+    Ms workers_reach_only_others_since_ = -1;  // -1: the condition does not hold
 };
 
 }  // namespace walkford
--- a/src/coordination/controller/submission_validation.cpp
+++ b/src/coordination/controller/submission_validation.cpp
@@ -7,6 +7,7 @@
 namespace {
 constexpr double kQuotaTolerance = 1e-6;
 
+// Returns the reason for rejecting the submission, or nullopt.
 std::optional<std::string> resolve_names(const ControllerContext& context,
                                          SubmitRequest& submission) {
     JobSpec& spec = submission.spec;
@@ -32,7 +33,7 @@
     return std::nullopt;
 }
 
-// The zones in which a task of the job fits an allowed machine type.
+// Returns the zones in which a task of the job fits on an allowed machine type.
 std::set<Id> eligible_zones(const ControllerContext& context, const JobSpec& spec) {
     std::set<Id> zones;
     for (const MachineType& machine_type : context.machine_types) {
@@ -54,7 +55,7 @@
     if (zones.empty()) {
         return "a task fits no allowed machine type";
     }
-    // (Of an array, half of the tasks may run after the other half.)
+    // Arrays are not affected: one half of their tasks may run after the other half.
     if (spec.starts_together() && spec.spread && (spec.one_zone || zones.size() < 2)) {
         return "all tasks at once and spread over zones, with one zone to be in";
     }
--- a/src/coordination/controller/submission_validation.hpp
+++ b/src/coordination/controller/submission_validation.hpp
@@ -1,4 +1,4 @@
-// Whether a submitted job can ever run.
+// Checks whether a submitted job can ever run.
 #pragma once
 
 #include <optional>
@@ -8,9 +8,10 @@
 
 namespace walkford {
 
-// Resolves the team, zone and machine types that the submission names into its spec, then checks
-// the spec against the machine types and the team's quota. Nothing: the job can run; otherwise the
-// reason why it never can, to be shown to the user. Needs the machine types to be known.
+// Resolves the names of the team, zone and machine types in the submission to ids in its spec, then
+// checks the spec against the machine types and the team's quota. Returns nullopt if the job can
+// run, otherwise the reason why it never can, as shown to the user. The machine types in the
+// context must have been loaded.
 std::optional<std::string> validate_submission(const ControllerContext& context,
                                                SubmitRequest& submission);
 
--- a/src/coordination/controller/user_requests.cpp
+++ b/src/coordination/controller/user_requests.cpp
@@ -10,20 +10,22 @@
 namespace walkford {
 
 namespace {
-// Users wait 5 s for a submission or cancellation and 2 s for a poll; what can't be decided in time
-// is answered at once, with when to come again.
+// Clients wait 5 s for the response to a submission or cancellation and 2 s for the response to a
+// poll. The budgets are shorter, so that a request that can't be decided in time still gets a
+// response, which says when to retry.
 constexpr Ms kWriteBudget = 4000;
 constexpr Ms kPollBudget = 1500;
-// How many requests may be open: a share of the process's file descriptors, but so many at least.
+// Limit on open requests: the process's file descriptors divided by kOpenRequestsDivisor, but at
+// least kMinOpenRequests.
 constexpr std::size_t kMinOpenRequests = 400;
 constexpr std::size_t kOpenRequestsDivisor = 3;
 constexpr int kRetryAfterOverloadS = 2;
-// When to come back with what waits for an upgrade: controllers restart within seconds.
+// Retry delay for requests that must wait for an upgrade. Controllers restart within seconds.
 constexpr int kRetryAfterUpgradeS = 5;
 constexpr int kMaxCreateRetries = 2;
 constexpr int kMaxCancelRetries = 4;
 constexpr std::size_t kMaxJobClasses = 256;
-constexpr std::size_t kTaskRecordBytes = 48;  // of a placement record, one task
+constexpr std::size_t kTaskRecordBytes = 48;  // size of one task in a placement record
 constexpr std::size_t kMinTasksPerRecord = 4;
 constexpr std::size_t kMaxTasksPerRecord = 64;
 
@@ -61,7 +63,7 @@
 
 void UserRequests::respond(RequestId request, UserResponse response) {
     if (deadlines_.erase(request) == 0) {
-        return;  // answered already, or timed out
+        return;  // it has been answered already, perhaps by a timeout
     }
     response.request = request;
     context_.out.emplace_back(std::move(response));
@@ -116,14 +118,14 @@
            });
 }
 
-void UserRequests::lookup(Ms now, const JobRequest& job, LookupCallback then) {
-    watcher_.barrier(now, [this, job, then = std::move(then)](Ms at, bool confirmed) {
-        on_lookup_confirmed(at, job, confirmed, then);
+void UserRequests::lookup(Ms now, const JobRequest& job, LookupCallback callback) {
+    watcher_.barrier(now, [this, job, callback = std::move(callback)](Ms at, bool confirmed) {
+        on_lookup_confirmed(at, job, confirmed, callback);
     });
 }
 
 void UserRequests::on_lookup_confirmed(Ms now, const JobRequest& job, bool confirmed,
-                                       const LookupCallback& then) {
+                                       const LookupCallback& callback) {
     if (!is_open(job.request)) {
         return;
     }
@@ -132,26 +134,27 @@
         return;
     }
     if (context_.replica.ended(job.job_id) || context_.replica.job(job.job_id)) {
-        then(now, LookupResult::found);
+        callback(now, LookupResult::found);
         return;
     }
-    // Not live by a confirmed replica: it ended long ago or was never accepted. A job moves from
-    // the live to the ended ones in one transaction, so this later read can't miss it.
+    // The confirmed replica has no live job of this id, so the job ended long ago or was never
+    // accepted. One transaction moves a job from the live to the ended jobs, so this later read
+    // can't miss it.
     context_.store.get(
         keys::ended(job.job_id),
-        [this, job, then](Ms at, const StoreResponse& response) {
-            on_ended_read(at, job, response, then);
+        [this, job, callback](Ms at, const StoreResponse& response) {
+            on_ended_read(at, job, response, callback);
         },
         context_.out);
 }
 
 void UserRequests::on_ended_read(Ms now, const JobRequest& job, const StoreResponse& response,
-                                 const LookupCallback& then) {
+                                 const LookupCallback& callback) {
     if (!is_open(job.request)) {
         return;
     }
     if (response.status == StoreStatus::not_found) {
-        then(now, LookupResult::not_found);
+        callback(now, LookupResult::not_found);
         return;
     }
     bool has_value = response.status == StoreStatus::ok && response.rows.size() == 1 &&
@@ -162,7 +165,7 @@
         return;
     }
     context_.replica.remember_ended(job.job_id, *ended);
-    then(now, LookupResult::found);
+    callback(now, LookupResult::found);
 }
 
 void UserRequests::poll(Ms now, const PollRequest& poll) {
@@ -172,7 +175,7 @@
     JobRequest job{poll.request, poll.id};
     const StoredJob* stored_job = context_.replica.job(poll.id);
     if (context_.replica.ended(poll.id) || (stored_job && stored_job->record.cancelled)) {
-        // Terminal: it never changes, so the replica is never too old for it.
+        // This state is final, so even an outdated replica gives the correct response.
         respond_with_state(job, ResponseDetail::with_counts);
         return;
     }
@@ -182,7 +185,7 @@
 
 void UserRequests::submit(Ms now, SubmitRequest submission) {
     const JobRequest job{submission.request, submission.spec.id};
-    if (!admit(now, job.request, kWriteBudget) || answered_early(now, submission, job)) {
+    if (!admit(now, job.request, kWriteBudget) || respond_before_validation(now, submission, job)) {
         return;
     }
     if (auto reason = validate_submission(context_, submission)) {
@@ -197,14 +200,15 @@
     create(job, std::move(record), 0);
 }
 
-bool UserRequests::answered_early(Ms now, const SubmitRequest& submission, const JobRequest& job) {
+bool UserRequests::respond_before_validation(Ms now, const SubmitRequest& submission,
+                                             const JobRequest& job) {
     constexpr int kUnavailable = http_status::kServiceUnavailable;
     if (!watcher_.ready()) {
         respond_with_failure(job.request, {kUnavailable, "recovering"});
         return true;
     }
-    // A known job is answered before its specification is validated: machine types and the
-    // specification may have changed since.
+    // A job that exists already is answered before its spec is validated, because the machine types
+    // and the submitted spec may have changed since the job was accepted.
     if (context_.replica.ended(job.job_id)) {
         respond_with_state(job, ResponseDetail::status_only);
         return true;
@@ -217,7 +221,7 @@
         respond_with_failure(job.request, {kUnavailable, "machine types not known yet"});
         return true;
     }
-    // An older controller would take a service for an array, and record it as done.
+    // A controller of an older version would treat a service as an array and record it as done.
     if (submission.spec.service() && !context_.may_write(kFeatureServices)) {
         respond_with_failure(job.request,
                              {kUnavailable, "services are taken once all controllers are upgraded",
@@ -227,22 +231,23 @@
     return false;
 }
 
-// An earlier submission of the same job may have been accepted; only a linearizable lookup can
-// tell.
+// Before it responds with 422, looks up the job with a linearizable read, because an earlier
+// submission of the same job may have been accepted.
 void UserRequests::reject_permanently(Ms now, const JobRequest& job, const std::string& reason) {
     lookup(now, job, [this, job, reason](Ms, LookupResult result) {
         if (result == LookupResult::found) {
             respond_with_state(job, ResponseDetail::status_only);
             return;
         }
-        spdlog::info("rejected {}: {}", job.job_id, reason);
+        spdlog::info("job {} rejected: {}", job.job_id, reason);
         respond_with_failure(job.request, {http_status::kUnprocessableEntity, reason});
     });
 }
 
 JobSpec UserRequests::build_spec(SubmitRequest& submission) {
     JobSpec spec = std::move(submission.spec);
-    // Users choose these names; beyond a few hundred classes they are not told apart.
+    // Users choose the class names freely, so the number of distinct classes is limited. Jobs of
+    // further classes get no class.
     if (context_.names.job_classes.size() < kMaxJobClasses ||
         context_.names.job_classes.find(submission.job_class_name) != kNone) {
         spec.job_class = context_.names.job_classes.intern(submission.job_class_name);
@@ -250,7 +255,8 @@
     if (!submission.image_name.empty()) {
         spec.image = context_.names.images.intern(submission.image_name);
     }
-    // Sized so that a record with every task on another machine stays within a value.
+    // A placement record must fit into one value of the store even if each of its tasks runs on a
+    // different machine.
     std::size_t tasks_per_record = context_.store.limits().value_bytes() / kTaskRecordBytes;
     spec.tasks_per_record = static_cast<std::uint32_t>(
         std::clamp(tasks_per_record, kMinTasksPerRecord, kMaxTasksPerRecord));
@@ -276,11 +282,13 @@
     if (response.status == StoreStatus::ok) {
         respond_with_status(job, http_status::kCreated, JobStatus::pending);
     } else if (response.status == StoreStatus::conflict) {
-        // Accepted already: by another controller, or by an earlier copy of this very write.
+        // The job was accepted already, by another controller or by an earlier attempt of this
+        // write.
         respond_after_lookup(now, job, ResponseDetail::status_only,
                              {http_status::kServiceUnavailable, kTryAgain});
     } else if (response.status == StoreStatus::no_response && retries < kMaxCreateRetries) {
-        // It may have been executed. The same write again is harmless: it creates or finds the job.
+        // The write may have been executed. Repeating it is safe: it either creates the job or
+        // fails with a conflict because the job exists.
         create(job, record, retries + 1);
     } else {
         respond_with_failure(job.request, {http_status::kServiceUnavailable, kStoreUnavailable});
@@ -350,7 +358,8 @@
         respond_with_failure(job.request, {http_status::kServiceUnavailable, kStoreUnavailable});
         return;
     }
-    // The job changed meanwhile, or it is unknown whether it did: read again.
+    // The job has changed meanwhile, or it is unknown whether the write was executed. Read the job
+    // again and retry.
     watcher_.barrier(now, [this, job, retries](Ms at, bool confirmed) {
         if (confirmed) {
             try_cancel(at, job, retries + 1);
--- a/src/coordination/messages/http_status.hpp
+++ b/src/coordination/messages/http_status.hpp
@@ -1,4 +1,4 @@
-// The HTTP status codes that a controller answers with.
+// The HTTP status codes that a controller responds with.
 #pragma once
 
 namespace walkford::http_status {
@@ -6,9 +6,9 @@
 inline constexpr int kOk = 200;
 inline constexpr int kCreated = 201;
 inline constexpr int kNotFound = 404;
-// The receiver is not the leader; the answer may name it.
+// This controller is not the leader; the response may name the leader.
 inline constexpr int kMisdirectedRequest = 421;
-// A job that can never run, whenever it is submitted again.
+// The submitted job can never run, so submitting it again is useless.
 inline constexpr int kUnprocessableEntity = 422;
 inline constexpr int kTooManyRequests = 429;
 inline constexpr int kServiceUnavailable = 503;
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -1,4 +1,5 @@
-// The state machine of a controller: its first read, its pace, an election, many inputs in a step.
+// Tests of the controller's state machine: the first read of the store, the message and wake-up
+// rates of an idle follower, an election, and many inputs in one step.
 #include "coordination/controller/controller.hpp"
 
 #include <gtest/gtest.h>
@@ -9,169 +10,181 @@
 namespace walkford {
 namespace {
 
+// Guards against a controller that never sees the first change of an empty store. After a snapshot
+// at revision 0, a controller once watched for changes after revision 1. It missed the leader key,
+// which is the store's first change, and campaigned forever.
 TEST(ControllerTest, SeesTheFirstChangeOfAnEmptyStore) {
-    // A reading at revision 0 once made the node follow changes from 1 on: it never saw the
-    // leader's key, the store's first change, and campaigned for ever.
     spdlog::set_level(spdlog::level::off);
-    PlatformSettings p;
-    p.controller_name = "n0";
-    p.zones = {"a"};
-    Controller controller(p, {}, 1);
-    Outputs out = controller.step(1000, TickInput{});
+    PlatformSettings platform_settings;
+    platform_settings.controller_name = "n0";
+    platform_settings.zones = {"a"};
+    Controller controller(platform_settings, {}, 1);
+    Outputs outputs = controller.step(1000, TickInput{});
     bool watched = false;
-    for (int i = 0; i < 40; ++i) {
-        Outputs next;
-        for (Output& o : out) {
-            auto* s = std::get_if<StoreRequest>(&o);
-            if (!s) {
+    for (int step = 0; step < 40; ++step) {
+        Outputs next_outputs;
+        for (Output& output : outputs) {
+            auto* request = std::get_if<StoreRequest>(&output);
+            if (!request) {
                 continue;
             }
-            if (s->operation == StoreOperation::changes) {
-                EXPECT_EQ(s->after, 0U);
+            if (request->operation == StoreOperation::changes) {
+                EXPECT_EQ(request->after, 0U);
                 watched = true;
             }
-            if (s->operation != StoreOperation::list) {
+            if (request->operation != StoreOperation::list) {
                 continue;
             }
-            StoreResponse r;
-            r.call = s->call;
-            r.status = StoreStatus::ok;
-            for (Output& n : controller.step(1000 + i, r)) {
-                next.push_back(std::move(n));
+            StoreResponse response;
+            response.call = request->call;
+            response.status = StoreStatus::ok;
+            for (Output& next : controller.step(1000 + step, response)) {
+                next_outputs.push_back(std::move(next));
             }
         }
-        out = std::move(next);
+        outputs = std::move(next_outputs);
     }
     EXPECT_TRUE(watched);
 }
 
-// What a follower at rest does is counted, since each message costs a small controller more than
-// what is computed for it. (It woke 20 times a second, told everybody twice a second, and its watch
-// returned with every single change.)
-TEST(ControllerTest, WakesSeldomAsAnIdleFollower) {
+// Guards against an idle follower that wakes up and sends messages too often: each message costs a
+// small controller more CPU time than the computation behind it. Such a follower once woke up 20
+// times per second, sent heartbeats to every peer twice per second, and its watch returned with
+// every single change.
+TEST(ControllerTest, LimitsWakeUpsAndMessagesOfAnIdleFollower) {
     spdlog::set_level(spdlog::level::off);
-    PlatformSettings p;
-    p.controller_name = "n0";
-    p.zones = {"a"};
+    PlatformSettings platform_settings;
+    platform_settings.controller_name = "n0";
+    platform_settings.zones = {"a"};
     for (const char* name : {"n1", "n2", "n3", "n4"}) {
-        p.peers.push_back({name, ""});
+        platform_settings.peers.push_back({name, ""});
     }
-    Controller controller(p, {}, 1);
-    int wakes = 0, told_leader = 0, told_others = 0, polled_wakes = 0, watches = 0;
+    Controller controller(platform_settings, {}, 1);
+    int wake_ups = 0, heartbeats_to_leader = 0, heartbeats_to_followers = 0, watches = 0;
+    int prompt_wake_ups_after_poll = 0;
     std::uint64_t revision = 10;
-    Ms now = 1000, end = 21000, wake = 1000;
+    Ms now = 1000, end = 21000, next_wake_up = 1000;
     while (now < end) {
-        std::vector<Output> out = controller.step(now, TickInput{});
-        ++wakes;
-        for (std::size_t i = 0; i < out.size(); ++i) {
-            Output o = out[i];
-            if (auto* s = std::get_if<StoreRequest>(&o);
-                s && s->operation == StoreOperation::list) {
-                StoreResponse r;
-                r.call = s->call;
-                r.status = StoreStatus::ok;
-                r.revision = revision;
-                if (s->key == keys::kLeader) {
-                    r.rows = {{keys::kLeader, encode_leader({"n2", "n2-1"}), 9}};
+        std::vector<Output> outputs = controller.step(now, TickInput{});
+        ++wake_ups;
+        for (std::size_t index = 0; index < outputs.size(); ++index) {
+            Output output = outputs[index];
+            if (auto* request = std::get_if<StoreRequest>(&output);
+                request && request->operation == StoreOperation::list) {
+                StoreResponse response;
+                response.call = request->call;
+                response.status = StoreStatus::ok;
+                response.revision = revision;
+                if (request->key == keys::kLeader) {
+                    response.rows = {{keys::kLeader, encode_leader({"n2", "n2-1"}), 9}};
                 }
-                for (Output& n : controller.step(now, r)) {
-                    out.push_back(std::move(n));
+                for (Output& next : controller.step(now, response)) {
+                    outputs.push_back(std::move(next));
                 }
-            } else if (s && s->operation == StoreOperation::changes) {
-                // Something changes all the time: every watch is answered at once.
+            } else if (request && request->operation == StoreOperation::changes) {
+                // The store changes continuously, so every watch returns at once.
                 ++watches;
-                StoreResponse r;
-                r.call = s->call;
-                r.status = StoreStatus::ok;
-                r.revision = ++revision;
-                for (Output& n : controller.step(now, r)) {
-                    out.push_back(std::move(n));
+                StoreResponse response;
+                response.call = request->call;
+                response.status = StoreStatus::ok;
+                response.revision = ++revision;
+                for (Output& next : controller.step(now, response)) {
+                    outputs.push_back(std::move(next));
                 }
-            } else if (auto* t = std::get_if<PeerSend>(&o)) {
-                (t->peer == 1 ? told_leader : told_others) += 1;
-            } else if (auto* w = std::get_if<WakeAt>(&o)) {
-                wake = w->at;
+            } else if (auto* heartbeat = std::get_if<PeerSend>(&output)) {
+                (heartbeat->peer == 1 ? heartbeats_to_leader : heartbeats_to_followers) += 1;
+            } else if (auto* wake_up = std::get_if<WakeAt>(&output)) {
+                next_wake_up = wake_up->at;
             }
         }
-        ASSERT_GT(wake, now);
-        now = wake;
+        ASSERT_GT(next_wake_up, now);
+        now = next_wake_up;
     }
-    EXPECT_LE(wakes, 20 * 7);  // 250 ms, when peers are told, and when the watch is due
-    EXPECT_LE(told_leader, 21);
-    EXPECT_GE(told_leader, 19);
-    EXPECT_LE(told_others, 3 * 11);
-    EXPECT_GE(told_others, 3 * 9);
+    // In each of the 20 s: four wake-ups at 250 ms intervals, one for heartbeats to peers, and two
+    // for the watch.
+    EXPECT_LE(wake_ups, 20 * 7);
+    EXPECT_LE(heartbeats_to_leader, 21);
+    EXPECT_GE(heartbeats_to_leader, 19);
+    EXPECT_LE(heartbeats_to_followers, 3 * 11);
+    EXPECT_GE(heartbeats_to_followers, 3 * 9);
     EXPECT_LE(watches, 20 * 2 + 1);
     EXPECT_GE(watches, 20 * 2 - 2);
-    // With a question open it looks more often again: nobody waits for a follower's sleep.
-    for (const Output& o : controller.step(now, PollRequest{1, "j-1"})) {
-        if (auto* w = std::get_if<WakeAt>(&o)) {
-            polled_wakes += w->at <= now + 50;
+    // While a user request is open, the follower uses the short tick interval again, so that its
+    // idle interval does not delay the response.
+    for (const Output& output : controller.step(now, PollRequest{1, "j-1"})) {
+        if (auto* wake_up = std::get_if<WakeAt>(&output)) {
+            prompt_wake_ups_after_poll += wake_up->at <= now + 50;
         }
     }
-    EXPECT_EQ(polled_wakes, 1);
+    EXPECT_EQ(prompt_wake_ups_after_poll, 1);
 }
 
-// The state service and its first leader, so far as one node needs them to be elected.
-struct ElectedController {
+// A controller with a simulated store whose responses suffice for the controller to be elected.
+struct ElectableController {
     PlatformSettings platform_settings;
     std::unique_ptr<Controller> controller;
     Ms now = 1000;
     std::uint64_t revision = 10;
-    Outputs seen;
+    Outputs recorded_outputs;
 
-    ElectedController() {
+    ElectableController() {
         spdlog::set_level(spdlog::level::off);
         platform_settings.controller_name = "n0";
         platform_settings.zones = {"a"};
         platform_settings.peers = {{"n1", ""}, {"n2", ""}};
         controller = std::make_unique<Controller>(platform_settings, test_operator_settings(), 1);
     }
-    // One turn; what the state service is asked it answers at once, in turns of their own.
-    void turn(const std::vector<Input>& inputs) {
-        Outputs out = controller->step(now, inputs);
-        for (std::size_t i = 0; i < out.size(); ++i) {
-            if (const auto* call = std::get_if<StoreRequest>(&out[i]); call && call->wait_ms == 0) {
-                StoreResponse reply;
-                reply.call = call->call;
-                reply.status = StoreStatus::ok;
-                reply.lease = 7;
-                reply.revision =
-                    call->operation == StoreOperation::transaction ? ++revision : revision;
-                for (Output& next : controller->step(now, Input{reply})) {
-                    out.push_back(std::move(next));
+    // Runs one step. The store responds at once to every request but watches, each response in a
+    // step of its own.
+    void step_with_store(const std::vector<Input>& inputs) {
+        Outputs outputs = controller->step(now, inputs);
+        for (std::size_t index = 0; index < outputs.size(); ++index) {
+            const auto* request = std::get_if<StoreRequest>(&outputs[index]);
+            if (request && request->wait_ms == 0) {
+                StoreResponse response;
+                response.call = request->call;
+                response.status = StoreStatus::ok;
+                response.lease = 7;
+                response.revision =
+                    request->operation == StoreOperation::transaction ? ++revision : revision;
+                for (Output& next : controller->step(now, Input{response})) {
+                    outputs.push_back(std::move(next));
                 }
             }
         }
-        seen.insert(seen.end(), out.begin(), out.end());
+        recorded_outputs.insert(recorded_outputs.end(), outputs.begin(), outputs.end());
     }
-    bool elect() {
-        for (int i = 0; i < 40 && !controller->leading(); ++i) {
+    // Runs steps until the controller leads; false if it does not within 40 steps. Afterwards
+    // recorded_outputs holds the outputs since the last tick.
+    bool run_until_elected() {
+        for (int step = 0; step < 40 && !controller->leading(); ++step) {
             now += 50;
-            seen.clear();
-            turn({TickInput{}});
+            recorded_outputs.clear();
+            step_with_store({TickInput{}});
         }
         return controller->leading();
     }
-    std::ptrdiff_t told_peers() const {
-        return std::count_if(seen.begin(), seen.end(),
-                             [](const Output& o) { return std::holds_alternative<PeerSend>(o); });
+    std::ptrdiff_t count_sent_heartbeats() const {
+        return std::count_if(
+            recorded_outputs.begin(), recorded_outputs.end(),
+            [](const Output& output) { return std::holds_alternative<PeerSend>(output); });
     }
 };
 
-// With an election peers are told at once: a leader that only they reach hears of the higher token
-// without waiting for the next regular message.
-TEST(ControllerTest, AnnouncesItsElectionAtOnce) {
-    ElectedController elected;
-    ASSERT_TRUE(elected.elect());
-    EXPECT_EQ(elected.told_peers(), 2);
+// Guards against delayed news of an election. A new leader sends heartbeats to its peers at once,
+// so that an earlier leader that only the peers reach learns of the higher fencing token without
+// waiting for the next regular heartbeat.
+TEST(ControllerTest, SendsHeartbeatsToPeersAtOnceWhenElected) {
+    ElectableController electable;
+    ASSERT_TRUE(electable.run_until_elected());
+    EXPECT_EQ(electable.count_sent_heartbeats(), 2);
 }
 
-// Under load one turn of the event loop brings many messages: one round of decisions serves them
-// all, and what leases hang on is answered before health checks and users.
-TEST(ControllerTest, ServesAllInputsOfAStepInOrderOfPriority) {
-    ElectedController elected;
-    ASSERT_TRUE(elected.elect());
+// Under load, one iteration of the event loop delivers many messages. They share one tick, and
+// heartbeats, which renew leases, are answered before health checks and user requests.
+TEST(ControllerTest, HandlesAllInputsOfAStepInOrderOfPriority) {
+    ElectableController electable;
+    ASSERT_TRUE(electable.run_until_elected());
     std::vector<Input> inputs{CancelRequest{1, "j-1"}, ReadyRequest{2}};
     for (RequestId request = 3; request < 103; ++request) {
         HeartbeatRequest heartbeat;
@@ -183,18 +196,19 @@
         heartbeat.worker_status.sequence = 1;
         inputs.push_back(heartbeat);
     }
-    elected.seen.clear();
-    Outputs out = elected.controller->step(elected.now, inputs);
-    int rounds = 0;
+    electable.recorded_outputs.clear();
+    Outputs outputs = electable.controller->step(electable.now, inputs);
+    int ticks = 0;
     int heartbeats_answered = 0;
-    for (const Output& o : out) {
-        rounds += std::holds_alternative<WakeAt>(o);
-        heartbeats_answered += std::holds_alternative<HeartbeatResponse>(o);
-        if (std::holds_alternative<UserResponse>(o)) {
-            EXPECT_EQ(heartbeats_answered, 100) << "a health check was answered before reports";
+    for (const Output& output : outputs) {
+        ticks += std::holds_alternative<WakeAt>(output);
+        heartbeats_answered += std::holds_alternative<HeartbeatResponse>(output);
+        if (std::holds_alternative<UserResponse>(output)) {
+            EXPECT_EQ(heartbeats_answered, 100)
+                << "a health check was answered before all heartbeats";
         }
     }
-    EXPECT_EQ(rounds, 1);
+    EXPECT_EQ(ticks, 1);
     EXPECT_EQ(heartbeats_answered, 100);
 }
 
