--- a/src/coordination/cloud/capacity_backoff.cpp
+++ b/src/coordination/cloud/capacity_backoff.cpp
@@ -5,7 +5,7 @@
 namespace walkford {
 
 namespace {
-constexpr int kMaxRefusalCount = 3;
+constexpr int kMaxRefusalCount = 3;  // caps the backoff at four times its base
 }
 
 void CapacityBackoff::add_refusal(Ms now, const MachineGroupKey& group, Ms base) {
--- a/src/coordination/cloud/cloud_manager.cpp
+++ b/src/coordination/cloud/cloud_manager.cpp
@@ -20,7 +20,9 @@
         return;
     }
     if (!registry_.load()) {
-        spdlog::error("the machine registry can't be read; nothing is requested or released");
+        spdlog::error(
+            "the stored machine registry can't be read; no machines are requested or released in "
+            "this leader term");
         return;
     }
     for (const RegisteredMachine& registered : registry_.machines()) {
--- a/src/coordination/cloud/cloud_manager.hpp
+++ b/src/coordination/cloud/cloud_manager.hpp
@@ -1,4 +1,4 @@
-// The leader's side of the cloud: scale-out, scale-in, and the registry of machines.
+// Manages the leader's machines in the cloud: scale-out, scale-in and the machine registry.
 #pragma once
 
 #include "coordination/cloud/capacity_backoff.hpp"
@@ -14,41 +14,46 @@
 
 namespace walkford {
 
-// What other subsystems use of the cloud. Owned by the leader for one term; composes the classes of
-// this folder, each of which has one concern.
+// The interface through which other subsystems request and release machines. Owned by the leader
+// for one term; composes the classes of this directory.
 class CloudManager {
   public:
-    // Nothing is known of the cloud until load() and tick(). Both references must outlive it.
+    // Knows no machines until load() and tick() are called. Both references must outlive it.
     CloudManager(LeaderContext& context, TaskLifecycle& lifecycle);
-    // Its parts refer to one another.
+    // Not copyable, because its members hold references to one another.
     CloudManager(const CloudManager&) = delete;
     CloudManager& operator=(const CloudManager&) = delete;
 
-    // Continues from the stored registry, at the beginning of a leader's term. If it can't be read,
-    // nothing is requested or released in this term.
+    // Restores the machines and the open scale-out requests from the stored registry, at the start
+    // of a leader's term. If the registry can't be read, no machine is requested or released in
+    // this term.
     void load(Ms now);
-    // Does what is due. Called in each step of the leader; nothing happens without a lease.
+    // Runs the periodic work: writes the registry, reads the cloud's lists, retries requests and
+    // checks machine health. Called in each step of the leader; does nothing without the lease.
     void tick(Ms now);
 
-    // Requests machines of a group. False if that can't be requested now. `reason` goes to the log.
+    // Requests machines of a group. Returns false if the group can't be requested now or the
+    // registry has no space left. `reason` is logged.
     bool request_machines(Ms now, Id machine_type, Id zone, bool spot, std::uint32_t count,
                           bool permanent, const std::string& reason);
-    // Stops using the machine and gives it back to the cloud. `reason` goes to the log.
+    // Stops using the machine and returns it to the cloud. `reason` is logged.
     void release_machine(Ms now, Id machine, const char* reason) {
         releaser_.release(now, machine, reason);
     }
 
-    // The registry is known, the group is not backed off, and no request for it is open.
+    // Whether the registry is initialized, the group is not backed off, and no request for the
+    // group is open.
     bool can_request(Id machine_type, Id zone, bool spot, Ms now) const;
-    // The cloud has refused a scale-out request in the zone, and is not asked again yet.
+    // Whether the cloud refused a scale-out request in the zone and its backoff is still running.
     bool refused_lately(Id zone, Ms now) const { return backoff_.blocks_zone(zone, now); }
-    // The registry is known: read, or created from the cloud's first list.
-    bool known() const { return registry_.known(); }
-    // Requests whose outcome is not known yet.
+    // Whether the registry has been loaded, or created from the cloud's first list.
+    bool known() const { return registry_.initialized(); }
+    // Scale-out requests whose outcome is not known yet.
     const std::vector<ScaleOutRequest>& scale_out_requests() const {
         return registry_.scale_out_requests();
     }
-    // Permanent machines were requested, or existed at the start: later machines are temporary.
+    // Whether permanent machines have been requested or existed when the registry was created.
+    // Machines requested after that are temporary.
     bool first_scale_out_done() const;
 
   private:
--- a/src/coordination/cloud/machine_health_watch.cpp
+++ b/src/coordination/cloud/machine_health_watch.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 constexpr Ms kCheckInterval = 500;
-// A new leader is not deposed for lost answers before this: machines have yet to find it.
-constexpr Ms kLostAnswersAfterElection = 10000;
-// With fewer machines than this the leader can't tell its own fault from theirs.
+// A new leader is not deposed for lost answers within this time after its election, because the
+// machines have not all found it yet.
+constexpr Ms kLostAnswersGraceAfterElection = 10000;
+// With fewer machines missing answers the leader can't tell its own fault from theirs.
 constexpr std::size_t kMinMachinesWithLostAnswers = 3;
-constexpr Ms kUnregisteredRelease = 7000;
-constexpr Ms kNeverBootedAfterElection = 5000;
-constexpr double kDefaultBootS = 60;  // of a machine type that is not known
+constexpr Ms kUnregisteredReleaseDelay = 7000;
+constexpr Ms kNeverBootedGraceAfterElection = 5000;
+constexpr double kDefaultBootS = 60;  // used if the machine type is unknown
 
-// More than one answer in a row did not reach the machine.
+// Whether more than one answer in a row did not reach the machine.
 bool misses_answers(const Machine& machine) {
     return machine.acknowledgement.missed_since >= 0 && machine.acknowledgement.missed_answers > 1;
 }
@@ -33,17 +34,17 @@
         case MachineFault::failed:
             return "failed";
         case MachineFault::quarantined:
-            return "quarantined: tasks fail on it";
+            return "quarantined because tasks failed on it";
         case MachineFault::never_booted:
-            return "never came up";
+            return "not running within its boot timeout";
         case MachineFault::silent:
             return "silent";
         case MachineFault::never_reported:
-            return "does not report";
+            return "listed as running, but has sent this leader no heartbeat";
         case MachineFault::does_not_receive:
-            return "reports, but does not receive answers";
+            return "sends heartbeats, but does not receive the answers";
         case MachineFault::never_acknowledged_term:
-            return "silent before it reported our fencing token";
+            return "stopped sending heartbeats before it reported this leader's fencing token";
     }
     return "unknown";
 }
@@ -54,8 +55,8 @@
     }
     next_check_at_ = now + kCheckInterval;
     bool answers_lost = answers_are_lost();
-    if (answers_lost && now > context_.elected_at + kLostAnswersAfterElection) {
-        context_.depose(now, "answers reach too few machines");
+    if (answers_lost && now > context_.elected_at + kLostAnswersGraceAfterElection) {
+        context_.depose(now, "most machines do not receive the answers to their heartbeats");
     }
     const auto& machines = context_.cluster.machines;
     for (Id machine_id = 0; machine_id < machines.size(); ++machine_id) {
@@ -74,8 +75,8 @@
     }
 }
 
-// When a few machines miss the answers to their heartbeats, they are faulty; when most do, it is
-// this leader whose answers are lost.
+// If a few machines miss the answers to their heartbeats, those machines are faulty. If more than
+// half of the reporting machines do, the fault lies with this leader.
 bool MachineHealthWatch::answers_are_lost() const {
     std::size_t reporting = 0;
     std::size_t missing_answers = 0;
@@ -89,11 +90,13 @@
     return missing_answers >= kMinMachinesWithLostAnswers && 2 * missing_answers > reporting;
 }
 
-// Unexpected: a scale-out request that was executed late, or one whose answer is still to come.
+// An unregistered machine comes from a scale-out request that the cloud executed late or whose
+// answer is still outstanding. It is released only if it stays unregistered with no retry pending.
 void MachineHealthWatch::check_unregistered(Ms now, Id machine_id, bool scale_out_pending) {
     const Machine& machine = context_.cluster.machines[machine_id];
-    Ms since = unregistered_.first_seen(machine.name, now);
-    if (registry_.known() && !scale_out_pending && now > since + kUnregisteredRelease) {
+    Ms first_seen = unregistered_.first_seen(machine.name, now);
+    if (registry_.initialized() && !scale_out_pending &&
+        now > first_seen + kUnregisteredReleaseDelay) {
         releaser_.release(now, machine_id, "not in the registry");
     }
 }
@@ -133,7 +136,8 @@
 
 bool MachineHealthWatch::never_booted(const Machine& machine, Ms now) const {
     return !machine.worker.reported && machine.listing.state != CloudMachineState::running &&
-           now > std::max(boot_deadline(machine), context_.elected_at + kNeverBootedAfterElection);
+           now > std::max(boot_deadline(machine),
+                          context_.elected_at + kNeverBootedGraceAfterElection);
 }
 
 bool MachineHealthWatch::silent(const Machine& machine, Ms now) const {
@@ -154,9 +158,10 @@
     return misses_answers(machine) && now > machine.acknowledgement.missed_since + grace;
 }
 
-// The machine reported an older fencing token only, perhaps in a delayed message, or reported once
-// only: a new machine that ended after its first heartbeat and before the cloud listed it kept its
-// tasks for ever. Only the cloud can prove what became of it.
+// True if the machine reported only an older fencing token, perhaps in a delayed message, or sent
+// only one heartbeat. Without this check, a new machine that terminated after its first heartbeat
+// and before the cloud listed it kept its tasks forever. The machine is released because only the
+// cloud can confirm that it is gone.
 bool MachineHealthWatch::never_acknowledged_term(const Machine& machine, Ms now) const {
     double release_s = context_.controller.operator_settings.unreported_release_s +
                        context_.controller.platform_settings.lease_s;
--- a/src/coordination/cloud/machine_health_watch.hpp
+++ b/src/coordination/cloud/machine_health_watch.hpp
@@ -1,4 +1,4 @@
-// Finds machines that have failed, and releases them.
+// Detects failed and unregistered machines and releases them.
 #pragma once
 
 #include <cstdint>
@@ -12,27 +12,28 @@
 // Why a machine is released as unhealthy.
 enum class MachineFault : std::uint8_t {
     none,
-    failed,                   // by the cloud's list
-    quarantined,              // tasks fail on it, and it is empty
-    never_booted,             // not up within its boot time
+    failed,                   // the cloud's list shows it as failed
+    quarantined,              // tasks kept failing on it, and it now has no tasks
+    never_booted,             // not running within its boot timeout
     silent,                   // its lease expired, and it still sends no heartbeats
-    never_reported,           // listed as running, but it sends no heartbeats
+    never_reported,           // listed as running, but has sent this leader no heartbeat
     does_not_receive,         // sends heartbeats, but does not receive the answers
-    never_acknowledged_term,  // silent before it reported this leader's fencing token
+    never_acknowledged_term,  // stopped reporting before it reported this leader's fencing token
 };
-// The fault in words, for the log.
+// Describes the fault for the log.
 const char* describe(MachineFault fault);
 
-// Looks at all machines every half second, releases unhealthy and unregistered ones, and deposes
-// the leader when it is the leader that is cut off. Owned by CloudManager.
+// Checks all machines every half second and releases unhealthy and unregistered ones. Deposes the
+// leader when most machines miss its answers, because then the leader itself is cut off. Owned by
+// CloudManager.
 class MachineHealthWatch {
   public:
     // All references must outlive it.
     MachineHealthWatch(LeaderContext& context, const MachineRegistry& registry,
                        MachineReleaser& releaser, UnregisteredMachines& unregistered);
 
-    // `scale_out_pending`: some scale-out request has an unknown outcome, so that an unregistered
-    // machine may be what it was granted.
+    // Runs a check if one is due. `scale_out_pending`: the outcome of some scale-out request is
+    // unknown, so an unregistered machine may have been granted to that request.
     void tick(Ms now, bool scale_out_pending);
 
   private:
--- a/src/coordination/cloud/machine_list_reconciler.cpp
+++ b/src/coordination/cloud/machine_list_reconciler.cpp
@@ -10,11 +10,14 @@
 namespace {
 constexpr Ms kReadInterval = 2500;
 constexpr Ms kReadRetryDelay = 1000;
-// A list may be older than the one before it by up to twice the list's lag; and a margin.
-constexpr Ms kMissingLags = 2;
+// A machine counts as gone if it is missing from a list whose read started more than this many list
+// lags plus the margin after the machine was first listed: a list may be older than the one before
+// it by up to twice the lag.
+constexpr Ms kMissingLagFactor = 2;
 constexpr Ms kMissingMargin = 1500;
-// A machine that was never listed by then does not exist.
-constexpr Ms kNeverListedLags = 4;
+// A machine that has not been listed this many list lags plus the margin after the leader learned
+// of it does not exist.
+constexpr Ms kNeverListedLagFactor = 4;
 constexpr Ms kNeverListedMargin = 10000;
 }  // namespace
 
@@ -27,8 +30,8 @@
         return;
     }
     reading_ = true;
-    read_began_at_ = now;
-    listed_.clear();
+    read_started_at_ = now;
+    listed_machines_.clear();
     request_page("");
 }
 
@@ -46,7 +49,8 @@
         next_read_at_ = now + kReadRetryDelay;
         return;
     }
-    listed_.insert(listed_.end(), response.machines.begin(), response.machines.end());
+    listed_machines_.insert(listed_machines_.end(), response.machines.begin(),
+                            response.machines.end());
     if (response.more && !response.machines.empty()) {
         request_page(response.machines.back().name);
         return;
@@ -58,10 +62,10 @@
 
 void MachineListReconciler::reconcile(Ms now) {
     bool stored = !context_.controller.replica.registry_parts.empty();
-    if (!registry_.known() && stored) {
-        return;  // the stored registry can't be read: nothing is added or released
+    if (!registry_.initialized() && stored) {
+        return;  // the stored registry can't be read, so no machine is added or released
     }
-    if (!registry_.known()) {
+    if (!registry_.initialized()) {
         adopt_listed_machines(now);
     }
     std::set<std::string> listed_names = apply_listed_machines(now);
@@ -74,11 +78,12 @@
     releaser_.forget_old_releases(now);
 }
 
-// The very first list: machines that are there at the start are ours, and permanent.
+// Called for the first list of a cluster without a stored registry. The machines that exist at that
+// point belong to this cluster and are permanent.
 void MachineListReconciler::adopt_listed_machines(Ms now) {
     registry_.create();
     ClusterState& cluster = context_.cluster;
-    for (const CloudMachine& listed : listed_) {
+    for (const CloudMachine& listed : listed_machines_) {
         if (listed.status == CloudMachineState::failed) {
             continue;
         }
@@ -94,7 +99,8 @@
     if (registry_.size() > 0) {
         registry_.set_first_scale_out_done();
     }
-    spdlog::info("{} machines at the start, permanent", registry_.size());
+    spdlog::info("machine registry created with {} machines from the cloud's list, all permanent",
+                 registry_.size());
     registry_.confirm_registration_after_write();
     registry_.write(now);
 }
@@ -102,7 +108,7 @@
 // Returns the names of all listed machines.
 std::set<std::string> MachineListReconciler::apply_listed_machines(Ms now) {
     std::set<std::string> names;
-    for (const CloudMachine& listed : listed_) {
+    for (const CloudMachine& listed : listed_machines_) {
         names.insert(listed.name);
         apply_listed_machine(now, listed);
     }
@@ -130,7 +136,7 @@
     machine.listing.state = listed.status;
     if (machine.listing.listed_since < 0) {
         machine.listing.listed_since = now;
-        // The listed age shows a new leader when the machine was requested.
+        // A new leader derives the time of the request from the age that the cloud lists.
         machine.requested_at = std::min(machine.requested_at, now - to_ms(listed.age_s));
     }
     machine.listing.last_listed = now;
@@ -140,18 +146,19 @@
     const Machine& machine = context_.cluster.machines[machine_id];
     Ms lag = to_ms(context_.controller.platform_settings.list_lag_s);
     bool was_listed = machine.listing.listed_since >= 0;
-    // Only a machine that was listed longer ago than a list can be outdated is missing because it
-    // is gone.
-    Ms outdated_by = kMissingLags * with_drift(lag) + kMissingMargin;
-    if (was_listed && read_began_at_ > machine.listing.listed_since + outdated_by) {
-        spdlog::info("machine {} left the cloud's list: gone with {} tasks", machine.name,
-                     machine.tasks.size());
-        releaser_.remove(now, machine_id, "not listed any more");
+    // An outdated list may not show a recently listed machine yet. The machine is gone only if it
+    // was first listed longer ago than a list can be outdated.
+    Ms max_list_age = kMissingLagFactor * with_drift(lag) + kMissingMargin;
+    if (was_listed && read_started_at_ > machine.listing.listed_since + max_list_age) {
+        spdlog::info("machine {} is no longer in the cloud's list; its {} tasks are lost",
+                     machine.name, machine.tasks.size());
+        releaser_.remove(now, machine_id, "no longer in the cloud's list");
         return;
     }
-    bool expected_by_now = now > machine.known_since + kNeverListedLags * lag + kNeverListedMargin;
-    if (!was_listed && machine.registered && !machine.worker.reported && expected_by_now) {
-        releaser_.release(now, machine_id, "never listed");
+    bool listing_overdue =
+        now > machine.known_since + kNeverListedLagFactor * lag + kNeverListedMargin;
+    if (!was_listed && machine.registered && !machine.worker.reported && listing_overdue) {
+        releaser_.release(now, machine_id, "never appeared in the cloud's list");
     }
 }
 
--- a/src/coordination/cloud/machine_list_reconciler.hpp
+++ b/src/coordination/cloud/machine_list_reconciler.hpp
@@ -1,4 +1,4 @@
-// The cloud's list of machines, and how the leader's state follows it.
+// Reconciles the leader's cluster state with the cloud's list of machines.
 #pragma once
 
 #include <set>
@@ -10,16 +10,16 @@
 
 namespace walkford {
 
-// Reads the cloud's list page by page and reconciles the cluster state with it: adds machines that
-// are new, removes those that left the list. The first leader adopts what the first list names.
-// Owned by CloudManager.
+// Reads the cloud's list page by page, adds new machines to the cluster state and removes machines
+// that are no longer listed. If no registry is stored yet, the leader registers all machines of the
+// first list except failed ones. Owned by CloudManager.
 class MachineListReconciler {
   public:
     // All references must outlive it.
     MachineListReconciler(LeaderContext& context, MachineRegistry& registry,
                           MachineReleaser& releaser);
 
-    // Begins to read the list when that is due; one list at a time.
+    // Starts reading the list when that is due. Only one read is in progress at a time.
     void tick(Ms now);
 
   private:
@@ -36,8 +36,8 @@
     MachineReleaser& releaser_;
     bool reading_ = false;
     Ms next_read_at_ = 0;
-    Ms read_began_at_ = 0;
-    std::vector<CloudMachine> listed_;  // the pages read so far
+    Ms read_started_at_ = 0;
+    std::vector<CloudMachine> listed_machines_;  // from the pages read so far
 };
 
 }  // namespace walkford
--- a/src/coordination/cloud/machine_registry.cpp
+++ b/src/coordination/cloud/machine_registry.cpp
@@ -7,15 +7,17 @@
 namespace walkford {
 
 namespace {
-// A part is filled to a third of a value: the marks of permanent and of releasing machines are
-// stored in rows of their own, each as large as the machines' rows at most.
+// Machines are added to a part only up to a third of the largest value, because permanent and
+// releasing machines are listed again in separate rows. Each of these two sets of rows is at most
+// as large as the rows of the machines.
 constexpr std::size_t kPartFillDivisor = 3;
 constexpr std::size_t kMaxPartBytes = 16384;
-// What one machine takes at most: ten characters, and a row if its group has none.
+// The most that one machine adds to a part: ten characters, plus a row if its group has none yet.
 constexpr std::size_t kMachineBytes = 10;
 constexpr std::size_t kRowBytes = 80;
-// What the answer to a scale-out request adds to the first value, while that one holds all
-// machines: a row, and two characters a name, and as much again for the rows of marks.
+// What the answer to a scale-out request adds to part 0 as long as that part holds all machines: a
+// row and two characters per name, and as much again for the rows of permanent and of releasing
+// machines.
 constexpr std::size_t kScaleOutRequestBytes = 64;
 constexpr std::size_t kRequestedMachineBytes = 4;
 }  // namespace
@@ -25,7 +27,7 @@
     for (const auto& [index, stored] : controller.replica.registry_parts) {
         auto record = decode_registry(stored.value, controller.names);
         if (!record) {
-            spdlog::error("part {} of the machine registry can't be read", index);
+            spdlog::error("part {} of the stored machine registry can't be decoded", index);
             parts_.clear();
             parts_[0];
             part_of_machine_.clear();
@@ -33,8 +35,8 @@
         }
         load_part(index, stored.version, stored.value.dump().size(), std::move(*record));
     }
-    known_ = !controller.replica.registry_parts.empty();
-    return known_;
+    initialized_ = !controller.replica.registry_parts.empty();
+    return initialized_;
 }
 
 void MachineRegistry::load_part(std::uint32_t index, std::uint64_t version, std::size_t bytes,
@@ -48,7 +50,8 @@
         first_scale_out_done_ = record.first_scale_out_done;
     }
     for (RegisteredMachine& machine : record.machines) {
-        // A machine that two parts name is being moved: the later part counts.
+        // If two parts name a machine, a split was moving it. The entry in the part with the higher
+        // index is kept.
         if (auto earlier = part_of_machine_.find(machine.name); earlier != part_of_machine_.end()) {
             parts_[earlier->second].machines.erase(machine.name);
             mark_changed(earlier->second);
@@ -76,16 +79,16 @@
     return all;
 }
 
-void MachineRegistry::mark_changed(std::uint32_t part) {
+void MachineRegistry::mark_changed(std::uint32_t index) {
     ++last_change_;
-    Part& changed = parts_[part];
+    Part& changed = parts_[index];
     if (changed.first_unsent_change == 0) {
         changed.first_unsent_change = last_change_;
     }
 }
 
-bool MachineRegistry::division_allowed() const {
-    return divided() || context_.controller.may_write(kFeatureServices);
+bool MachineRegistry::split_allowed() const {
+    return is_split() || context_.controller.may_write(kFeatureServices);
 }
 
 std::size_t MachineRegistry::part_limit() const {
@@ -109,12 +112,13 @@
     return part.machines.empty() || part.bytes + bytes_to_add(part, machine) <= part_limit();
 }
 
-// The part that the machine goes to: a new one if none has space.
+// Returns the index of the part that the machine is added to, which is a new one if no existing
+// part has space.
 std::uint32_t MachineRegistry::part_for(const RegisteredMachine& machine) {
-    if (!divided()) {
+    if (!is_split()) {
         return 0;
     }
-    std::uint32_t unused = 1;
+    std::uint32_t unused_index = 1;
     for (auto& [index, part] : parts_) {
         if (index == 0) {
             continue;
@@ -122,7 +126,8 @@
         if (has_space_for(part, machine)) {
             return index;
         }
-        // What was added since the part was last encoded was counted at its maximum.
+        // Additions since the part was last encoded were counted at their maximum size, so the
+        // actual size may be smaller.
         if (part.bytes_estimated) {
             part.bytes = encode(index).dump().size();
             part.bytes_estimated = false;
@@ -130,9 +135,9 @@
                 return index;
             }
         }
-        unused = std::max(unused, index + 1);
+        unused_index = std::max(unused_index, index + 1);
     }
-    return unused;
+    return unused_index;
 }
 
 void MachineRegistry::add_machine(const RegisteredMachine& machine) {
@@ -149,52 +154,53 @@
 }
 
 void MachineRegistry::remove_machine(const std::string& name) {
-    auto known = part_of_machine_.find(name);
-    if (known == part_of_machine_.end()) {
+    auto found = part_of_machine_.find(name);
+    if (found == part_of_machine_.end()) {
         return;
     }
-    parts_[known->second].machines.erase(name);
-    mark_changed(known->second);
-    part_of_machine_.erase(known);
+    parts_[found->second].machines.erase(name);
+    mark_changed(found->second);
+    part_of_machine_.erase(found);
 }
 
 void MachineRegistry::mark_releasing(const std::string& name) {
-    auto known = part_of_machine_.find(name);
-    if (known == part_of_machine_.end()) {
+    auto found = part_of_machine_.find(name);
+    if (found == part_of_machine_.end()) {
         return;
     }
-    parts_[known->second].machines[name].releasing = true;
-    mark_changed(known->second);
+    parts_[found->second].machines[name].releasing = true;
+    mark_changed(found->second);
 }
 
-// A value that is too large for lower limits to come is divided before they are in force; a
-// division that an earlier leader began is completed.
-bool MachineRegistry::division_due() const {
+// True if part 0 is larger than the store's limit, or than a lower limit that is configured to
+// follow it, so that the registry is split before the lower limit is in force. Also true if an
+// earlier leader did not complete its split.
+bool MachineRegistry::split_due() const {
     const Part& first = parts_.at(0);
-    if (first.machines.empty() || !division_allowed()) {
+    if (first.machines.empty() || !split_allowed()) {
         return false;
     }
     std::size_t limit = context_.controller.store.limits().value_bytes();
-    return divided() || (first.bytes > limit && encode(0).dump().size() > limit);
+    return is_split() || (first.bytes > limit && encode(0).dump().size() > limit);
 }
 
-// Moves every machine out of the first value.
-void MachineRegistry::divide() {
-    std::map<std::string, RegisteredMachine> all = std::move(parts_[0].machines);
+// Moves every machine from part 0 to the other parts.
+void MachineRegistry::split() {
+    std::map<std::string, RegisteredMachine> moved = std::move(parts_[0].machines);
     parts_[0].machines.clear();
     parts_[1];
-    for (const auto& [name, machine] : all) {
+    for (const auto& [name, machine] : moved) {
         part_of_machine_.erase(name);
         add_machine(machine);
     }
     mark_changed(0);
-    spdlog::info("the machine registry is divided into {} parts: {} machines", parts_.size(),
+    spdlog::info("machine registry split into {} parts for {} machines", parts_.size(),
                  part_of_machine_.size());
 }
 
-std::size_t MachineRegistry::first_value_bytes() const {
+std::size_t MachineRegistry::first_part_bytes() const {
     std::size_t bytes = encode(0).dump().size();
-    if (!divided()) {
+    if (!is_split()) {
         for (const ScaleOutRequest& request : scale_out_requests_) {
             bytes += kScaleOutRequestBytes + kRequestedMachineBytes * request.count;
         }
@@ -205,15 +211,18 @@
 bool MachineRegistry::add_scale_out_request(const ScaleOutRequest& request) {
     scale_out_requests_.push_back(request);
     const EffectiveStoreLimits& limits = context_.controller.store.limits();
-    std::size_t limit = division_allowed() ? limits.value_bytes() : limits.current_value_bytes();
-    std::size_t bytes = first_value_bytes();
-    if (bytes > limit && division_allowed() && !divided()) {
-        divide();
-        bytes = first_value_bytes();
+    std::size_t limit = split_allowed() ? limits.value_bytes() : limits.current_value_bytes();
+    std::size_t bytes = first_part_bytes();
+    if (bytes > limit && split_allowed() && !is_split()) {
+        split();
+        bytes = first_part_bytes();
     }
     if (bytes > limit) {
         scale_out_requests_.pop_back();
-        spdlog::error("the machine registry is full: {} machines are not requested", request.count);
+        spdlog::error(
+            "scale-out request {}: not sent, because part 0 of the machine registry would take {} "
+            "bytes and the limit is {} bytes; {} machines are not requested",
+            request.name, bytes, limit, request.count);
         return false;
     }
     ++next_request_number_;
--- a/src/coordination/cloud/machine_registry_write.cpp
+++ b/src/coordination/cloud/machine_registry_write.cpp
@@ -1,4 +1,4 @@
-// How the machine registry becomes durable: writes, conflicts, and what waits for them.
+// Makes the machine registry durable: writes, conflicts, and callbacks that wait for writes.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -9,17 +9,18 @@
 
 namespace {
 constexpr Ms kRetryDelay = 250;
-// A write that is rejected as malformed or too large is not sent again at once.
+// Delay before a write that the store rejected as malformed or too large is repeated.
 constexpr Ms kTooLargeRetryDelay = 5000;
-constexpr std::size_t kMaxTransactionBytes = 48000;  // of the 64 KiB that a transaction may have
+constexpr std::size_t kMaxTransactionBytes =
+    48000;  // keeps below the store's 64 KiB per transaction
 }  // namespace
 
 void MachineRegistry::after_write(std::function<void(Ms)> callback) {
     durable_callbacks_.push_back({last_change_, std::move(callback)});
 }
 
-// Nothing runs on a machine that the durable registry doesn't list yet: a new leader would take a
-// placement there for one on a machine that is long gone, and start the task again.
+// No task may run on a machine that is not durably registered yet. A new leader would treat a
+// placement on it as one on a machine that is gone, and would start the task again.
 void MachineRegistry::confirm_registration_after_write() {
     after_write([this](Ms) {
         for (const RegisteredMachine& registered : machines()) {
@@ -35,20 +36,21 @@
     if (call_open_ || now < next_write_at_) {
         return;
     }
-    if (division_due()) {
-        divide();
+    if (split_due()) {
+        split();
     }
-    std::vector<std::uint32_t> due = changed_parts();
-    if (due.empty()) {
+    std::vector<std::uint32_t> changed = changed_parts();
+    if (changed.empty()) {
         run_durable_callbacks(now);
         return;
     }
-    due.resize(std::min<std::size_t>(due.size(),
-                                     context_.controller.store.limits().transaction_operations()));
-    send_write(due);
+    changed.resize(std::min<std::size_t>(
+        changed.size(), context_.controller.store.limits().transaction_operations()));
+    send_write(changed);
 }
 
-// The first value comes last: it is the one that ceases to name machines and scale-out requests.
+// Returns the indices of the changed parts. Part 0 comes last, because writing it removes machines
+// and scale-out requests from the stored registry.
 std::vector<std::uint32_t> MachineRegistry::changed_parts() const {
     std::vector<std::uint32_t> changed;
     for (const auto& [index, part] : parts_) {
@@ -62,13 +64,13 @@
     return changed;
 }
 
-// Sends as many of the parts, in their order, as fit one transaction; at least one.
-void MachineRegistry::send_write(const std::vector<std::uint32_t>& due) {
+// Sends the parts in their order, as many as fit into one transaction but at least one.
+void MachineRegistry::send_write(const std::vector<std::uint32_t>& changed) {
     Transaction transaction;
     transaction.comparisons = {{keys::kLeader, context_.fencing_token}};
     std::vector<std::uint32_t> sent;
     std::size_t bytes = 0;
-    for (std::uint32_t index : due) {
+    for (std::uint32_t index : changed) {
         Part& part = parts_[index];
         Json value = encode(index);
         part.bytes = value.dump().size();
@@ -114,16 +116,20 @@
     next_write_at_ = now + kRetryDelay;
     if (response.status == StoreStatus::too_large) {
         next_write_at_ = now + kTooLargeRetryDelay;
-        spdlog::error("the state service rejects the machine registry as too large");
+        spdlog::error(
+            "the store rejected a write of {} parts of the machine registry as too large; next "
+            "attempt in {} ms",
+            sent.size(), kTooLargeRetryDelay);
     }
     if (response.status != StoreStatus::conflict || context_.deposed_by(now, response)) {
         return;
     }
-    // An earlier copy of our own write was executed; the next write replaces it.
+    // The store has executed an earlier copy of this leader's own write. The next write replaces
+    // it.
     refresh_versions(response.failed);
 }
 
-// Reads the versions of the keys from the state service, one after the other, the last one first.
+// Reads the versions of the keys from the store one at a time, starting with the last key.
 void MachineRegistry::refresh_versions(std::vector<std::string> stale_keys) {
     if (stale_keys.empty()) {
         return;
@@ -155,9 +161,9 @@
 MachineRegistry::ChangeNumber MachineRegistry::last_durable_change() const {
     ChangeNumber oldest_open = last_change_ + 1;
     for (const auto& [index, part] : parts_) {
-        for (ChangeNumber open : {part.first_unsent_change, part.first_unanswered_change}) {
-            if (open != 0) {
-                oldest_open = std::min(oldest_open, open);
+        for (ChangeNumber change : {part.first_unsent_change, part.first_unanswered_change}) {
+            if (change != 0) {
+                oldest_open = std::min(oldest_open, change);
             }
         }
     }
@@ -175,7 +181,8 @@
             ++callback;
         }
     }
-    // Run after they are taken out: a callback may add others.
+    // The callbacks run after they have been removed from the list, because a callback may add
+    // others.
     for (DurableCallback& callback : ready) {
         callback.run(now);
     }
--- a/src/coordination/cloud/machine_releaser.cpp
+++ b/src/coordination/cloud/machine_releaser.cpp
@@ -10,8 +10,8 @@
 namespace {
 constexpr std::size_t kMaxMachinesPerCall = 100;
 constexpr Ms kRetryDelay = 1200;
-// A release is remembered for this many list lags, and a margin.
-constexpr Ms kRememberedLags = 6;
+// A confirmed release is remembered for this many list lags plus the margin.
+constexpr Ms kRememberedLagFactor = 6;
 constexpr Ms kRememberedMargin = 60000;
 }  // namespace
 
@@ -30,7 +30,7 @@
         return;
     }
     machine.releasing = true;
-    spdlog::info("release {} ({}{}): {}", machine.name,
+    spdlog::info("releasing machine {} (type {}{}): {}", machine.name,
                  machine.machine_type == kNone
                      ? "?"
                      : context_.controller.names.machine_types.name(machine.machine_type),
@@ -38,20 +38,20 @@
     std::string name = machine.name;
     registry_.mark_releasing(name);
     if (!machine.registered) {
-        to_release_.insert(name);
+        pending_releases_.insert(name);
         return;
     }
-    registry_.after_write([this, name](Ms) { to_release_.insert(name); });
+    registry_.after_write([this, name](Ms) { pending_releases_.insert(name); });
     registry_.write(now);
 }
 
 void MachineReleaser::send_due(Ms now) {
-    if (call_open_ || to_release_.empty() || now < retry_at_) {
+    if (call_open_ || pending_releases_.empty() || now < retry_at_) {
         return;
     }
     call_open_ = true;
     std::vector<std::string> machines;
-    for (const std::string& machine : to_release_) {
+    for (const std::string& machine : pending_releases_) {
         if (machines.size() == kMaxMachinesPerCall) {
             break;
         }
@@ -76,7 +76,7 @@
         return;
     }
     for (const std::string& name : machines) {
-        to_release_.erase(name);
+        pending_releases_.erase(name);
         released_at_[name] = now;
         Id machine = context_.cluster.find_machine(name);
         if (machine != kNone) {
@@ -94,7 +94,7 @@
     lifecycle_.machine_emptied(machine_id, now, reason);
     cluster.forget_machine(machine_id);
     unregistered_.forget(name);
-    to_release_.erase(name);
+    pending_releases_.erase(name);
     if (!registered) {
         return;
     }
@@ -104,7 +104,7 @@
 
 void MachineReleaser::forget_old_releases(Ms now) {
     Ms lag = to_ms(context_.controller.platform_settings.list_lag_s);
-    Ms remembered_for = kRememberedLags * lag + kRememberedMargin;
+    Ms remembered_for = kRememberedLagFactor * lag + kRememberedMargin;
     std::erase_if(released_at_,
                   [&](const auto& entry) { return now > entry.second + remembered_for; });
 }
--- a/src/coordination/cloud/machine_releaser.hpp
+++ b/src/coordination/cloud/machine_releaser.hpp
@@ -1,4 +1,4 @@
-// Scale-in: gives machines back to the cloud and removes those that are gone.
+// Scale-in: returns machines to the cloud and removes terminated machines from the cluster state.
 #pragma once
 
 #include <map>
@@ -13,27 +13,29 @@
 
 namespace walkford {
 
-// Releases machines: marks them in the registry, and once the mark is durable asks the cloud to
-// take them until it confirms. Owned by CloudManager.
+// Marks machines as releasing in the registry. Once the mark is durable, asks the cloud to take
+// them back and repeats the request until the cloud confirms it. Owned by CloudManager.
 class MachineReleaser {
   public:
     // All references must outlive it.
     MachineReleaser(LeaderContext& context, TaskLifecycle& lifecycle, MachineRegistry& registry,
                     CapacityBackoff& backoff, UnregisteredMachines& unregistered);
 
-    // Stops using the machine and starts its release; does nothing if that has begun. `reason` goes
-    // to the log.
+    // Stops using the machine and starts its release. Does nothing if the machine is already being
+    // released or is terminated. `reason` is logged.
     void release(Ms now, Id machine, const char* reason);
-    // Continues a release that an earlier leader marked durably.
-    void resume_release(const std::string& machine) { to_release_.insert(machine); }
-    // Asks the cloud to take the machines whose marks are durable; one call at a time.
+    // Continues a release that an earlier leader recorded in the registry.
+    void resume_release(const std::string& machine) { pending_releases_.insert(machine); }
+    // Sends the pending releases to the cloud. Only one call is open at a time.
     void send_due(Ms now);
-    // The machine is proven gone: its tasks are lost, and the registry drops it.
+    // Removes a machine that is certain to be gone: its tasks are lost, and its registry entry is
+    // deleted.
     void remove(Ms now, Id machine, const char* reason);
 
-    // The cloud confirmed the release; its list, which lags behind, may still show the machine.
+    // Whether the cloud confirmed the release recently. Its list lags behind and may still show the
+    // machine.
     bool released(const std::string& machine) const { return released_at_.contains(machine); }
-    // Forgets releases that even the most outdated list can't show any more.
+    // Forgets releases that are so old that even an outdated list no longer shows the machine.
     void forget_old_releases(Ms now);
 
   private:
@@ -45,7 +47,7 @@
     MachineRegistry& registry_;
     CapacityBackoff& backoff_;
     UnregisteredMachines& unregistered_;
-    std::set<std::string> to_release_;  // marked durably, or unregistered
+    std::set<std::string> pending_releases_;  // durably marked, or not registered
     std::map<std::string, Ms> released_at_;
     bool call_open_ = false;
     Ms retry_at_ = 0;
--- a/src/coordination/cloud/machine_type_reader.cpp
+++ b/src/coordination/cloud/machine_type_reader.cpp
@@ -38,8 +38,9 @@
     }
 }
 
-// Stored, so that a controller that starts during an outage of the cloud can still validate
-// submissions. Once only, at nominal prices: prices change too often to be written.
+// The types are stored so that a controller that starts during an outage of the cloud can still
+// validate submissions. They are written only once, at list prices, because prices change too often
+// to write each change.
 void MachineTypeReader::store(const std::vector<MachineType>& machine_types) {
     Transaction transaction;
     transaction.comparisons = {{keys::kLeader, context_.fencing_token}};
--- a/src/coordination/cloud/machine_type_reader.hpp
+++ b/src/coordination/cloud/machine_type_reader.hpp
@@ -1,4 +1,4 @@
-// Reads the machine types that the cloud offers.
+// Periodically reads the machine types that the cloud offers.
 #pragma once
 
 #include <vector>
@@ -7,14 +7,14 @@
 
 namespace walkford {
 
-// Keeps the machine types of the controller and of the cluster state up to date, and stores them
-// once. Owned by CloudManager.
+// Keeps the machine types in the controller context and in the cluster state up to date, and writes
+// them to the store once. Owned by CloudManager.
 class MachineTypeReader {
   public:
     // The context must outlive it.
     explicit MachineTypeReader(LeaderContext& context) : context_(context) {}
 
-    // Asks the cloud when that is due; one call at a time.
+    // Requests the list when that is due. Only one call is open at a time.
     void tick(Ms now);
 
   private:
--- a/src/coordination/cloud/scale_out_requester.cpp
+++ b/src/coordination/cloud/scale_out_requester.cpp
@@ -35,7 +35,7 @@
 }
 
 bool ScaleOutRequester::can_request(const MachineGroupKey& group, Ms now) const {
-    if (!registry_.known() || backoff_.blocks(group, now)) {
+    if (!registry_.initialized() || backoff_.blocks(group, now)) {
         return false;
     }
     return std::none_of(registry_.scale_out_requests().begin(),
@@ -49,7 +49,8 @@
         return false;
     }
     ScaleOutRequest request;
-    // Never used twice: the fencing token is unique, and so is the number under it.
+    // The name is never reused: the fencing token identifies the leader term, and the number is
+    // unique within it.
     request.name = "w" + std::to_string(context_.fencing_token) + "-" +
                    std::to_string(registry_.next_request_number());
     request.machine_type = group.machine_type;
@@ -61,9 +62,10 @@
         return false;
     }
     registry_.after_write([this, name = request.name](Ms) { send(name); });
-    // What is refused time and again goes to the debug log only.
+    // Groups that are refused repeatedly are logged at debug level only.
     spdlog::log(backoff_.refused_repeatedly(group) ? spdlog::level::debug : spdlog::level::info,
-                "scale-out request {}: {} {}{} in {}{}: {}", request.name, request.count,
+                "scale-out request {}: requesting {} machines of type {}{} in zone {}{}: {}",
+                request.name, request.count,
                 context_.controller.names.machine_types.name(group.machine_type),
                 group.spot ? " (spot)" : "", context_.controller.names.zones.name(group.zone),
                 permanent ? ", permanent" : "", reason);
@@ -127,7 +129,8 @@
         case CloudCallStatus::no_response:
         case CloudCallStatus::unavailable:
         case CloudCallStatus::unexpected:
-            // It may have been executed: repeated under the same name until the outcome is known.
+            // The cloud may have executed the request, so it is repeated under the same name until
+            // its outcome is known.
             retry_at_by_request_[request_name] = now + kUnknownOutcomeRetryDelay;
             break;
     }
@@ -178,17 +181,18 @@
         {name, request.machine_type, request.zone, request.spot, request.permanent, false});
 }
 
-// Surely not executed: the request ends here.
+// The cloud has certainly not executed the request, so it is not repeated.
 void ScaleOutRequester::on_no_capacity(Ms now, const ScaleOutRequest& request) {
     spdlog::log(backoff_.refused(group_of(request)) ? spdlog::level::debug : spdlog::level::info,
-                "scale-out request {}: no capacity", request.name);
+                "scale-out request {}: the cloud has no capacity for {} machines", request.name,
+                request.count);
     back_off(now, group_of(request));
     registry_.remove_scale_out_request(request.name);
     registry_.write(now);
 }
 
 void ScaleOutRequester::on_malformed(Ms now, const ScaleOutRequest& request) {
-    spdlog::error("scale-out request {} was rejected as malformed", request.name);
+    spdlog::error("scale-out request {}: the cloud rejected it as malformed", request.name);
     backoff_.block_until(group_of(request), now + kMalformedBackoff);
     registry_.remove_scale_out_request(request.name);
     registry_.write(now);
@@ -197,7 +201,7 @@
 void ScaleOutRequester::back_off(Ms now, const MachineGroupKey& group) {
     backoff_.add_refusal(now, group,
                          to_ms(context_.controller.operator_settings.no_capacity_backoff_s));
-    // Another group is requested at once.
+    // Another group is requested at the next tick.
     context_.scale_out_now = true;
 }
 
--- a/src/coordination/cloud/scale_out_requester.hpp
+++ b/src/coordination/cloud/scale_out_requester.hpp
@@ -1,4 +1,4 @@
-// Scale-out: requests machines from the cloud, exactly once each.
+// Scale-out: requests machines from the cloud so that each request takes effect exactly once.
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 namespace walkford {
 
 // Sends scale-out requests and registers the machines that the cloud grants. A request is durable
-// in the registry before it is sent, and is repeated under the same name, by later leaders too,
+// in the registry before it is sent. It is repeated under the same name, also by later leaders,
 // until its outcome is known. Owned by CloudManager.
 class ScaleOutRequester {
   public:
@@ -22,17 +22,19 @@
                       const MachineReleaser& releaser, CapacityBackoff& backoff,
                       UnregisteredMachines& unregistered);
 
-    // Repeats the requests that an earlier leader left without a known outcome.
+    // Schedules a retry of the requests whose outcome an earlier leader did not learn.
     void resume(Ms now);
-    // The registry is known, the group is not backed off, and no request for it is open.
+    // Whether the registry is initialized, the group is not backed off, and no request for the
+    // group is open.
     bool can_request(const MachineGroupKey& group, Ms now) const;
-    // Requests up to 50 machines. False if the group can't be requested now, or the registry has no
-    // space left. `reason` goes to the log.
+    // Requests `count` machines, but at most 50. Returns false if `count` is 0, the group can't be
+    // requested now, or the registry has no space left. `reason` is logged.
     bool request(Ms now, const MachineGroupKey& group, std::uint32_t count, bool permanent,
                  const std::string& reason);
-    // Sends again what is due for a retry.
+    // Repeats the requests whose retry is due.
     void retry_due(Ms now);
-    // Some request waits for its retry: what it was granted may not be registered yet.
+    // Whether any request is waiting for its retry. The cloud may have granted it machines that are
+    // not registered yet.
     bool retries_pending() const { return !retry_at_by_request_.empty(); }
 
   private:
@@ -49,7 +51,7 @@
     const MachineReleaser& releaser_;
     CapacityBackoff& backoff_;
     UnregisteredMachines& unregistered_;
-    std::set<std::string> open_calls_;  // names of the requests that are sent and not answered
+    std::set<std::string> open_calls_;  // names of requests that were sent but not answered
     std::map<std::string, Ms> retry_at_by_request_;
 };
 
--- a/src/coordination/cloud/unregistered_machines.hpp
+++ b/src/coordination/cloud/unregistered_machines.hpp
@@ -1,4 +1,4 @@
-// Machines that the cloud lists or that report, but that the registry does not contain.
+// Machines that appear in the cloud's list or send heartbeats but are not in the registry.
 #pragma once
 
 #include <map>
@@ -8,19 +8,19 @@
 
 namespace walkford {
 
-// Since when each unregistered machine has been known. Filled by MachineHealthWatch, which releases
-// a machine that stays unregistered; owned by CloudManager.
+// Records when each unregistered machine was first seen. Filled by MachineHealthWatch, which
+// releases a machine that stays unregistered. Owned by CloudManager.
 class UnregisteredMachines {
   public:
-    // When the machine was first found unregistered: now, if it is new.
+    // Returns when the machine was first seen unregistered. Records `now` for a new machine.
     Ms first_seen(const std::string& machine, Ms now) {
-        return since_.try_emplace(machine, now).first->second;
+        return first_seen_at_.try_emplace(machine, now).first->second;
     }
-    // The machine was registered, or it is gone.
-    void forget(const std::string& machine) { since_.erase(machine); }
+    // Removes a machine that has been registered or is gone.
+    void forget(const std::string& machine) { first_seen_at_.erase(machine); }
 
   private:
-    std::map<std::string, Ms> since_;
+    std::map<std::string, Ms> first_seen_at_;
 };
 
 }  // namespace walkford
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -1,4 +1,5 @@
-// The machine registry in one value and in several, against a small state service.
+// Tests of the machine registry, stored as one value and as several, against a simulated store with
+// low limits.
 #include "coordination/cloud/machine_registry.hpp"
 
 #include <gtest/gtest.h>
@@ -15,26 +16,27 @@
 
 constexpr std::uint64_t kFencingToken = 1;
 
-// One leader after another keeps the registry in one state service.
+// Runs successive leaders that keep the registry in the same simulated store.
 class MachineRegistryTest : public testing::Test {
   protected:
     MachineRegistryTest() {
         spdlog::set_level(std::getenv("LOG_LEVEL") ? spdlog::level::debug : spdlog::level::off);
-        StoreRequest leader;
-        leader.operation = StoreOperation::transaction;
-        leader.transaction.writes = {{keys::kLeader, encode_leader({"n0", "n0-1"}), 0}};
-        EXPECT_EQ(service.execute(now, "n0", leader).revision, kFencingToken);
+        StoreRequest write_leader;
+        write_leader.operation = StoreOperation::transaction;
+        write_leader.transaction.writes = {{keys::kLeader, encode_leader({"n0", "n0-1"}), 0}};
+        EXPECT_EQ(store.execute(now, "n0", write_leader).revision, kFencingToken);
     }
 
     void set_limits(const StoreLimits& current, const std::optional<StoreLimits>& next) {
         limits = current;
         next_limits = next;
-        service.set_limits(current);
+        store.set_limits(current);
     }
 
-    // A new leader, with what the state service holds.
+    // Starts a new leader, which loads the registry from the store. `level` is the lowest feature
+    // level of all controllers.
     void take_over(std::uint32_t level) {
-        store.reset();
+        registry.reset();
         leader_context.reset();
         PlatformSettings platform_settings;
         platform_settings.controller_name = "n0";
@@ -45,72 +47,73 @@
             std::make_unique<ControllerContext>(platform_settings, test_operator_settings(), 1);
         context->cluster_level = level;
         context->store.set_leading(true);
-        for (const StoreEntry& row : read_all()) {
-            context->replica.apply(row);
+        for (const StoreEntry& entry : read_all_entries()) {
+            context->replica.apply(entry);
         }
         leader_context = std::make_unique<LeaderContext>(*context, kFencingToken, now);
-        store = std::make_unique<MachineRegistry>(*leader_context);
-        store->load();
+        registry = std::make_unique<MachineRegistry>(*leader_context);
+        registry->load();
     }
 
-    std::vector<StoreEntry> read_all() {
-        std::vector<StoreEntry> rows;
+    std::vector<StoreEntry> read_all_entries() {
+        std::vector<StoreEntry> entries;
         StoreRequest list;
         list.operation = StoreOperation::list;
         list.key = keys::kRoot;
-        StoreResponse reply;
+        StoreResponse response;
         do {
-            reply = service.execute(now, "n0", list);
-            rows.insert(rows.end(), reply.rows.begin(), reply.rows.end());
-            list.after_key = rows.empty() ? "" : rows.back().key;
-        } while (reply.more);
-        return rows;
+            response = store.execute(now, "n0", list);
+            entries.insert(entries.end(), response.rows.begin(), response.rows.end());
+            list.after_key = entries.empty() ? "" : entries.back().key;
+        } while (response.more);
+        return entries;
     }
 
-    // Carries out what is due, at most so many transactions; the answers of `lost` of them are
-    // lost.
-    void run(int most = 1000, int lost = 0) {
-        for (int i = 0; i < 4000 && most > 0; ++i) {
+    // Writes the registry and executes its store calls until 4000 steps or `max_transactions`
+    // transactions are done. The responses to the first `lost_responses` transactions are lost.
+    void run_writes(int max_transactions = 1000, int lost_responses = 0) {
+        for (int step = 0; step < 4000 && max_transactions > 0; ++step) {
             now += 50;
-            store->write(now);
+            registry->write(now);
             context->store.pump(now, context->out);
-            Outputs out = std::move(context->out);
+            Outputs outputs = std::move(context->out);
             context->out.clear();
-            for (Output& o : out) {
-                auto* call = std::get_if<StoreRequest>(&o);
+            for (Output& output : outputs) {
+                auto* call = std::get_if<StoreRequest>(&output);
                 if (!call) {
                     continue;
                 }
-                StoreResponse reply = service.execute(now, "n0", *call);
+                StoreResponse response = store.execute(now, "n0", *call);
                 if (call->operation == StoreOperation::transaction) {
                     ++transactions;
-                    --most;
-                    if (lost > 0) {
-                        --lost;
-                        reply = {};
-                        reply.call = call->call;
+                    --max_transactions;
+                    if (lost_responses > 0) {
+                        --lost_responses;
+                        response = {};
+                        response.call = call->call;
                     }
                 }
-                context->store.reply(now, reply);
+                context->store.reply(now, response);
             }
         }
     }
 
-    RegisteredMachine machine(int number) {
-        RegisteredMachine m;
-        m.name = "host-" + std::to_string(100000 + number);
-        m.machine_type = context->names.machine_types.intern(number % 3 ? "chhota" : "gajraj");
-        m.zone = static_cast<Id>(number / 50 % 4);
-        m.spot = number / 200 % 2 == 0;
-        m.permanent = number % 40 == 0;
-        return m;
+    RegisteredMachine make_machine(int number) {
+        RegisteredMachine machine;
+        machine.name = "host-" + std::to_string(100000 + number);
+        machine.machine_type =
+            context->names.machine_types.intern(number % 3 ? "chhota" : "gajraj");
+        machine.zone = static_cast<Id>(number / 50 % 4);
+        machine.spot = number / 200 % 2 == 0;
+        machine.permanent = number % 40 == 0;
+        return machine;
     }
 
-    std::set<std::string> stored_names() {
+    std::set<std::string> stored_machine_names() {
         take_over(kFeatureServices);
         std::set<std::string> names;
-        for (const RegisteredMachine& m : store->machines()) {
-            names.insert(m.name);
+        for (const RegisteredMachine& machine : registry->machines()) {
+            names.insert(machine.name);
         }
         return names;
     }
@@ -118,163 +121,168 @@
     Ms now = 1000;
     StoreLimits limits{1000, 1000, 4, 8};
     std::optional<StoreLimits> next_limits;
-    standin::KeyValueStore service;
+    standin::KeyValueStore store;
     std::unique_ptr<ControllerContext> context;
     std::unique_ptr<LeaderContext> leader_context;
-    std::unique_ptr<MachineRegistry> store;
+    std::unique_ptr<MachineRegistry> registry;
     int transactions = 0;
 };
 
-// 4,000 machines left of 12,000 rented, in four zones, with rentals open, in values of 1 KiB and
-// transactions of four changes.
-TEST_F(MachineRegistryTest, HoldsFourThousandMachinesInValuesOfOneKilobyte) {
+// Of 12,000 machines added in four zones, 4,000 remain registered next to twelve open scale-out
+// requests. Guards against values that exceed the store's limit of 1 KiB per value, and
+// against machines that are lost while parts are written in transactions of four operations.
+TEST_F(MachineRegistryTest, HoldsFourThousandMachinesInValuesOfOneKibibyte) {
     set_limits({1000, 1000, 1, 4}, std::nullopt);
     take_over(kFeatureServices);
-    store->create();
+    registry->create();
     std::mt19937 rng(11);
     std::set<std::string> expected;
     for (int number = 0; number < 12000; ++number) {
-        RegisteredMachine m = machine(number);
-        store->add_machine(m);
-        expected.insert(m.name);
+        RegisteredMachine machine = make_machine(number);
+        registry->add_machine(machine);
+        expected.insert(machine.name);
         if (expected.size() > 4000) {
-            auto gone = expected.begin();
-            std::advance(gone, static_cast<int>(rng() % expected.size()));
-            store->remove_machine(*gone);
-            expected.erase(gone);
+            auto removed = expected.begin();
+            std::advance(removed, static_cast<int>(rng() % expected.size()));
+            registry->remove_machine(*removed);
+            expected.erase(removed);
         }
         if (number % 50 == 0) {
-            run(2);
+            run_writes(2);
         }
     }
-    for (int i = 0; i < 12; ++i) {
+    for (int request_number = 0; request_number < 12; ++request_number) {
         ScaleOutRequest scale_out_request;
-        scale_out_request.name = "w1234567-" + std::to_string(i);
+        scale_out_request.name = "w1234567-" + std::to_string(request_number);
         scale_out_request.machine_type = context->names.machine_types.intern("chhota");
         scale_out_request.zone = 0;
         scale_out_request.count = 50;
-        EXPECT_TRUE(store->add_scale_out_request(scale_out_request));
+        EXPECT_TRUE(registry->add_scale_out_request(scale_out_request));
     }
-    int returning = 0;
+    int position = 0;
     for (const std::string& name : expected) {
-        if (++returning % 10 == 0) {
-            store->mark_releasing(name);
+        if (++position % 10 == 0) {
+            registry->mark_releasing(name);
         }
     }
-    run();
-    EXPECT_EQ(service.refused_for_size, 0);
+    run_writes();
+    EXPECT_EQ(store.refused_for_size, 0);
     EXPECT_EQ(expected.size(), 4000U);
-    EXPECT_EQ(stored_names(), expected);
-    EXPECT_EQ(store->scale_out_requests().size(), 12U);
-    int marked = 0;
-    for (const RegisteredMachine& m : store->machines()) {
-        marked += m.releasing;
+    EXPECT_EQ(stored_machine_names(), expected);
+    EXPECT_EQ(registry->scale_out_requests().size(), 12U);
+    int releasing = 0;
+    for (const RegisteredMachine& machine : registry->machines()) {
+        releasing += machine.releasing;
     }
-    EXPECT_EQ(marked, 400);
+    EXPECT_EQ(releasing, 400);
 }
 
-// While a controller is old the registry stays in its one value, and what does not fit there is not
-// rented; parts are written as soon as all read them.
-TEST_F(MachineRegistryTest, IsDividedOnlyOnceAllControllersReadParts) {
+// Controllers of an earlier version read only part 0. While one of them runs, the registry must
+// stay in one value, and scale-out requests that do not fit there are refused. Once all controllers
+// read several parts, the registry is split.
+TEST_F(MachineRegistryTest, IsSplitOnlyOnceAllControllersReadParts) {
     set_limits({1000, 1000, 2, 8}, std::nullopt);
     take_over(kFeatureNone);
-    store->create();
+    registry->create();
     for (int number = 0; number < 600; ++number) {
-        store->add_machine(machine(number * 7));
+        registry->add_machine(make_machine(number * 7));
     }
     ScaleOutRequest scale_out_request;
     scale_out_request.name = "w1-1";
     scale_out_request.machine_type = context->names.machine_types.intern("chhota");
     scale_out_request.zone = 0;
     scale_out_request.count = 50;
-    int admitted = 0;
-    while (admitted < 100 && store->add_scale_out_request(scale_out_request)) {
-        ++admitted;
+    int accepted = 0;
+    while (accepted < 100 && registry->add_scale_out_request(scale_out_request)) {
+        ++accepted;
     }
-    EXPECT_LT(admitted, 100) << "one value can't hold them";
-    run();
-    EXPECT_EQ(store->parts(), 1U);
-    for (const StoreEntry& row : read_all()) {
-        EXPECT_FALSE(row.key.rfind(keys::kRegistryParts, 0) == 0) << row.key;
+    EXPECT_LT(accepted, 100) << "one value can't hold this many requests";
+    run_writes();
+    EXPECT_EQ(registry->part_count(), 1U);
+    for (const StoreEntry& entry : read_all_entries()) {
+        EXPECT_FALSE(entry.key.rfind(keys::kRegistryParts, 0) == 0) << entry.key;
     }
     context->cluster_level = kFeatureServices;
-    EXPECT_TRUE(store->add_scale_out_request(scale_out_request));
-    EXPECT_GT(store->parts(), 1U);
-    run();
-    EXPECT_EQ(service.refused_for_size, 0);
-    EXPECT_EQ(stored_names().size(), 600U);
+    EXPECT_TRUE(registry->add_scale_out_request(scale_out_request));
+    EXPECT_GT(registry->part_count(), 1U);
+    run_writes();
+    EXPECT_EQ(store.refused_for_size, 0);
+    EXPECT_EQ(stored_machine_names().size(), 600U);
 }
 
-// The limits fall, and leaders end, in the midst of the division: no machine is lost, at whatever
-// transaction it happens and whatever answers are.
-TEST_F(MachineRegistryTest, ADivisionCutShortIsCompletedByTheNextLeader) {
-    for (int cut = 1; cut <= 8; ++cut) {
-        SCOPED_TRACE(cut);
-        service = standin::KeyValueStore();
-        StoreRequest leader;
-        leader.operation = StoreOperation::transaction;
-        leader.transaction.writes = {{keys::kLeader, encode_leader({"n0", "n0-1"}), 0}};
-        service.execute(now, "n0", leader);
-        const StoreLimits lower{1000, 1000, 1, 3};
-        set_limits({1000, 1000, 4, 8}, lower);
+// Guards against losing machines when the leader changes during a split. The split is interrupted
+// after 1 to 8 transactions, and the responses to up to two of them are lost. For even numbers of
+// transactions the store's limits also drop before the next leader takes over.
+TEST_F(MachineRegistryTest, NextLeaderCompletesAnInterruptedSplit) {
+    for (int executed_transactions = 1; executed_transactions <= 8; ++executed_transactions) {
+        SCOPED_TRACE(executed_transactions);
+        store = standin::KeyValueStore();
+        StoreRequest write_leader;
+        write_leader.operation = StoreOperation::transaction;
+        write_leader.transaction.writes = {{keys::kLeader, encode_leader({"n0", "n0-1"}), 0}};
+        store.execute(now, "n0", write_leader);
+        const StoreLimits lower_limits{1000, 1000, 1, 3};
+        set_limits({1000, 1000, 4, 8}, lower_limits);
         take_over(kFeatureNone);
-        store->create();
+        registry->create();
         for (int number = 0; number < 1200; ++number) {
-            store->add_machine(machine(number * 3));
+            registry->add_machine(make_machine(number * 3));
         }
-        run();
-        std::set<std::string> all = stored_names();
-        ASSERT_EQ(all.size(), 1200U);
-        run(cut, cut % 3);
-        if (cut % 2 == 0) {
-            service.set_limits(lower);
+        run_writes();
+        std::set<std::string> expected = stored_machine_names();
+        ASSERT_EQ(expected.size(), 1200U);
+        run_writes(executed_transactions, executed_transactions % 3);
+        if (executed_transactions % 2 == 0) {
+            store.set_limits(lower_limits);
         }
-        EXPECT_EQ(stored_names(), all) << "a reader between two writes misses none";
-        std::string gone = *all.begin();
-        store->remove_machine(gone);
-        all.erase(gone);
-        service.set_limits(lower);
+        EXPECT_EQ(stored_machine_names(), expected)
+            << "a reader between two writes must see every machine";
+        std::string removed = *expected.begin();
+        registry->remove_machine(removed);
+        expected.erase(removed);
+        store.set_limits(lower_limits);
         bool durable = false;
-        store->after_write([&](Ms) { durable = true; });
-        run();
+        registry->after_write([&](Ms) { durable = true; });
+        run_writes();
         EXPECT_TRUE(durable);
-        EXPECT_EQ(stored_names(), all);
-        EXPECT_GT(store->parts(), 2U);
+        EXPECT_EQ(stored_machine_names(), expected);
+        EXPECT_GT(registry->part_count(), 2U);
     }
 }
 
-// What has changed is written, and nothing else.
-TEST_F(MachineRegistryTest, OnlyChangedPartsAreWritten) {
+// Guards against writing unchanged parts: marking one machine must change one stored value only.
+TEST_F(MachineRegistryTest, WritesOnlyChangedParts) {
     set_limits({1000, 1000, 1, 8}, std::nullopt);
     take_over(kFeatureServices);
-    store->create();
+    registry->create();
     for (int number = 0; number < 2000; ++number) {
-        store->add_machine(machine(number));
+        registry->add_machine(make_machine(number));
     }
-    store->add_scale_out_request(
+    registry->add_scale_out_request(
         {"w1-1", context->names.machine_types.intern("chhota"), 0, false, 50, false});
-    run();
-    ASSERT_GT(store->parts(), 8U);
-    std::map<std::string, std::uint64_t> before;
-    for (const StoreEntry& row : read_all()) {
-        before[row.key] = row.version;
+    run_writes();
+    ASSERT_GT(registry->part_count(), 8U);
+    std::map<std::string, std::uint64_t> versions_before;
+    for (const StoreEntry& entry : read_all_entries()) {
+        versions_before[entry.key] = entry.version;
     }
-    store->mark_releasing(machine(77).name);
-    run();
-    int changed = 0;
-    for (const StoreEntry& row : read_all()) {
-        changed += before[row.key] != row.version;
+    registry->mark_releasing(make_machine(77).name);
+    run_writes();
+    int changed_entries = 0;
+    for (const StoreEntry& entry : read_all_entries()) {
+        changed_entries += versions_before[entry.key] != entry.version;
     }
-    EXPECT_EQ(changed, 1);
+    EXPECT_EQ(changed_entries, 1);
 }
 
-// A part that can't be read: nothing is rented or given back on its account.
-TEST_F(MachineRegistryTest, AGarbledPartIsNotTakenForAnEmptyOne) {
+// Guards against treating a part that can't be decoded as empty, which would let the leader request
+// and release machines without knowing those of that part.
+TEST_F(MachineRegistryTest, LoadFailsIfAPartCannotBeDecoded) {
     take_over(kFeatureServices);
     context->replica.apply({keys::registry_part(3), Json{{"m", "garbled"}}, 99});
-    MachineRegistry other(*leader_context);
-    EXPECT_FALSE(other.load());
-    EXPECT_EQ(other.size(), 0U);
+    MachineRegistry unreadable_registry(*leader_context);
+    EXPECT_FALSE(unreadable_registry.load());
+    EXPECT_EQ(unreadable_registry.size(), 0U);
 }
 
 }  // namespace
