--- a/src/bookkeeping/cluster_state.cpp
+++ b/src/bookkeeping/cluster_state.cpp
@@ -6,14 +6,16 @@
 namespace walkford {
 
 namespace {
-// Sums of decimals drift in the last bits; a millionth is not a resource.
+// Sums of decimal amounts accumulate rounding errors, so differences up to a millionth of a unit
+// are ignored.
 constexpr double kRoundingSlack = 1e-6;
-// No placement looks at more tasks on one machine.
+// Placement never considers more tasks than this on one machine.
 constexpr double kMaxSlots = 1000;
 constexpr std::uint32_t kNoLimit = 0xffffffffU;
 constexpr double kMaxHeadroom = 4e9;
 
-// How many more tasks that use `each` the limit admits; a limit of 0 is none.
+// The number of further tasks that the limit admits if each uses `each`. A limit of 0 means that
+// there is no limit.
 std::uint32_t headroom(double limit, double used, double each) {
     if (limit <= 0 || each <= 0) {
         return kNoLimit;
@@ -25,7 +27,7 @@
 
 ClusterState::ClusterState(Names& shared_names, std::vector<Team> teams)
     : names(shared_names), teams_(std::move(teams)) {
-    used_.resize(teams_.size());
+    team_usage_.resize(teams_.size());
 }
 
 void ClusterState::set_machine_types(const std::vector<MachineType>& machine_types) {
@@ -46,14 +48,14 @@
     return found == job_ids_.end() ? kNone : found->second;
 }
 
-// An index for a new job, at which a fresh one stands.
+// Returns an unused index and resets the job at that index to its initial state.
 Id ClusterState::allocate_job() {
-    if (free_jobs_.empty()) {
+    if (free_job_indices_.empty()) {
         jobs.emplace_back();
         return static_cast<Id>(jobs.size() - 1);
     }
-    Id job_id = free_jobs_.back();
-    free_jobs_.pop_back();
+    Id job_id = free_job_indices_.back();
+    free_job_indices_.pop_back();
     jobs[job_id] = Job{};
     return job_id;
 }
@@ -105,7 +107,7 @@
     job_ids_.erase(job.spec.id);
     jobs[id] = Job{};
     jobs[id].alive = false;
-    free_jobs_.push_back(id);
+    free_job_indices_.push_back(id);
     for (Machine& machine : machines) {
         MachineHealth& health = machine.health;
         health.failed_jobs_done_elsewhere += health.failing_jobs.erase(id) > 0 && completed;
@@ -199,14 +201,14 @@
 }
 
 void ClusterState::add_team_usage(Id team, const Resources& amount) {
-    if (team < used_.size()) {
-        used_[team] += amount;
+    if (team < team_usage_.size()) {
+        team_usage_[team] += amount;
     }
 }
 
 void ClusterState::remove_team_usage(Id team, const Resources& amount) {
-    if (team < used_.size()) {
-        used_[team] -= amount;
+    if (team < team_usage_.size()) {
+        team_usage_[team] -= amount;
     }
 }
 
@@ -246,7 +248,7 @@
     machine.used -= job.spec.each;
     machine.tasks.erase(ref);
     if (machine.tasks.empty()) {
-        machine.used = {};  // without what rounding has left
+        machine.used = {};  // discards accumulated rounding errors
     }
     --job.assigned;
     if (--job.zones[machine.zone] == 0) {
@@ -285,7 +287,7 @@
         return;
     }
     if (completed.phase == TaskPhase::pending) {
-        // It was reported done while it waited to be placed again.
+        // The task was reported as done while it was queued to be placed again.
         auto& retry_queue = jobs[ref.job].retry_queue;
         auto queued = std::find(retry_queue.begin(), retry_queue.end(), ref.task);
         if (queued == retry_queue.end()) {
@@ -303,8 +305,8 @@
         return 0;
     }
     const Resources& quota = teams_[team].quota;
-    return std::min(headroom(quota.cpus, used_[team].cpus, each.cpus),
-                    headroom(quota.gpus, used_[team].gpus, each.gpus));
+    return std::min(headroom(quota.cpus, team_usage_[team].cpus, each.cpus),
+                    headroom(quota.gpus, team_usage_[team].gpus, each.gpus));
 }
 
 bool ClusterState::within_quota(Id team, const Resources& more) const {
@@ -316,7 +318,7 @@
         return false;
     }
     const Resources& share = teams_[team].guaranteed_share;
-    Resources total = used_[team] + more;
+    Resources total = team_usage_[team] + more;
     return total.cpus <= share.cpus + kRoundingSlack &&
            (more.gpus <= 0 || total.gpus <= share.gpus + kRoundingSlack);
 }
--- a/src/bookkeeping/cluster_state.hpp
+++ b/src/bookkeeping/cluster_state.hpp
@@ -1,6 +1,6 @@
-// The leader's state of the cluster: jobs, tasks, machines and the usage of teams. A task is
-// counted on the machine it was assigned to until it is proven to have left it; every change of
-// machine goes through assign() and unassign().
+// The leader's in-memory model of the cluster: jobs, tasks, machines and the resource usage of
+// teams. A task occupies the machine that it was assigned to until it is proven to have left that
+// machine; every change of a task's machine goes through assign() and unassign().
 #pragma once
 
 #include <deque>
@@ -20,94 +20,97 @@
 
 namespace walkford {
 
-// Owns jobs, machines and the usage of teams. Pure bookkeeping: it knows no clock, and sends
-// nothing. Indices of jobs are used again after remove_job(); those of machines never are.
+// Owns the jobs, the machines and the resource usage of teams. It reads no clock and does no I/O.
+// The index of a job is reused after remove_job(); the index of a machine is never reused.
 class ClusterState {
   public:
     // `names` must outlive this object; it is shared with the codecs.
     ClusterState(Names& names, std::vector<Team> teams);
-    // How long after its arrival a job is to start, which orders the jobs. Set by the leader;
-    // without it, jobs are ordered by age.
+    // The time after its arrival within which a job should start. It determines the order of jobs.
+    // The leader sets it; the default of 0 orders jobs by arrival.
     std::function<Ms(const JobSpec&)> start_budget = [](const JobSpec&) { return Ms{0}; };
 
-    // The machine types that the cloud offers; replaces the earlier ones.
+    // Replaces the list of machine types that the cloud offers.
     void set_machine_types(const std::vector<MachineType>& machine_types);
-    // The machine types that the cloud offers, in its order.
+    // The machine types that the cloud offers, in the order of the cloud's list.
     const std::vector<MachineType>& machine_types() const { return machine_types_; }
-    // Null where the cloud doesn't offer the type (any more).
+    // Returns null if the cloud does not offer the machine type, or no longer does.
     const MachineType* machine_type(Id id) const;
-    // Null where there is no such team.
+    // Returns null if there is no such team.
     const Team* team(Id id) const { return id < teams_.size() ? &teams_[id] : nullptr; }
-    // What the team's assigned tasks use. The team must exist.
-    const Resources& team_used(Id id) const { return used_.at(id); }
+    // The resources that the team's assigned tasks use. The team must exist.
+    const Resources& team_used(Id id) const { return team_usage_.at(id); }
 
-    // Deques: a reference stays good while others are added.
+    // Deques, so that references stay valid when elements are appended.
     std::deque<Job> jobs;
     std::deque<Machine> machines;
     Names& names;
     std::vector<JobClassProfile> job_class_profiles;
-    // Placement records that may differ from the durable ones.
+    // Placement records that may differ from what the store holds.
     std::set<PlacementRecordRef> dirty;
 
-    // The index of a job; kNone where it is unknown.
+    // Returns the index of a job, or kNone if the job is unknown.
     Id find_job(const std::string& id) const;
-    // Adds a job without any placement. It must be unknown so far.
+    // Adds a job none of whose tasks is placed. The job must not be known yet.
     Id add_job(const StoredJob& stored_job, Ms now);
-    // Unassigns all tasks of the job and frees its index.
+    // Unassigns all tasks of the job and releases its index for reuse.
     void remove_job(Id id);
-    // The index of a machine; kNone where it is unknown or has terminated.
+    // Returns the index of a machine, or kNone if it is unknown or has terminated.
     Id find_machine(const std::string& name) const;
-    // Adds a machine, or gives the index of the one that has this name already.
+    // Adds a machine and returns its index. If a machine of this name exists, returns its index
+    // and changes nothing.
     Id add_machine(const std::string& name, Id machine_type, Id zone, bool spot, Ms now);
-    // The machine has terminated: it is found no more. Its tasks have been unassigned before.
+    // Marks the machine as terminated, after which find_machine() no longer returns it. The caller
+    // has unassigned its tasks.
     void forget_machine(Id id);
 
-    // The task; its placement record is made where it is missing.
+    // Returns the task. Creates its placement record if there is none yet.
     Task& task(TaskRef ref);
-    // The placement record that has the task; made where it is missing.
+    // Returns the placement record that contains the task. Creates it if there is none yet.
     PlacementRecord& placement_record_of(TaskRef ref);
-    // A placement record by index; made where it is missing.
+    // Returns a placement record by its index. Creates it if there is none yet.
     PlacementRecord& placement_record(Id job_id, std::uint32_t index);
 
-    // How many images the machine fetches, or is about to.
+    // The number of images that the machine is fetching or is about to fetch.
     int image_fetches_in_progress(const Machine& machine);
 
-    // Counts the task on the machine from now on, as a new attempt. It must be on no machine.
+    // Assigns the task to the machine as a new attempt. The task must not be assigned already.
     void assign(TaskRef ref, Id machine_id, std::uint32_t attempt, Ms now);
-    // Counts the task on no machine any more. Only once it is proven to have left its machine.
+    // Removes the task from its machine. Call this only once the task is proven to have left the
+    // machine.
     void unassign(TaskRef ref);
-    // The same, and the task is to be placed again.
+    // Like unassign(), and queues the task to be placed again.
     void requeue(TaskRef ref, Ms now);
-    // The task has completed: it is unassigned and never placed again.
+    // Unassigns a task that has completed; it is never placed again.
     void mark_done(TaskRef ref);
 
-    // Whether the team's quota admits `more`.
+    // Whether the team's usage stays within its quota with `more` added.
     bool within_quota(Id team, const Resources& more) const;
-    // How many more tasks of this size the team's quota admits.
+    // The number of further tasks of size `each` that the team's quota admits.
     std::uint32_t quota_headroom(Id team, const Resources& each) const;
-    // Whether the team's usage lies within its guaranteed share with `more` added.
+    // Whether the team's usage stays within its guaranteed share with `more` added.
     bool within_guaranteed_share(Id team, const Resources& more) const;
 
-    // Adopts a job and its placements as an earlier leader wrote them.
+    // Adds a job and its placements as an earlier leader stored them.
     void load_job(const StoredJob& stored_job,
                   const std::map<std::uint32_t, StoredValue>* placement_records, Ms now);
-    // The placement record of the task is to be written.
+    // Marks the placement record of the task as needing to be written.
     void mark_dirty(TaskRef ref) {
         dirty.insert({ref.job, ref.task / jobs[ref.job].spec.tasks_per_record});
     }
-    // A placement record as it should be stored now.
+    // The contents of a placement record that should be stored now.
     std::vector<TaskRecord> snapshot(Id job_id, std::uint32_t index) const;
-    // Whether the durable placement record surely says what the cluster state says.
+    // Whether the stored placement record is known to agree with the cluster state.
     bool durable(Id job_id, std::uint32_t index) const;
-    // The record is about to be written: the durable state of the tasks that it changes is unknown
-    // until commit().
+    // Call this before a write of the record is sent. The stored state of the tasks that the write
+    // changes is unknown from then until commit().
     void mark_write_started(Id job_id, std::uint32_t index, const std::vector<TaskRecord>& written);
-    // The record stands durably as `stored`.
+    // Notes that the store holds the record as `stored`.
     void commit(Id job_id, std::uint32_t index, const std::vector<TaskRecord>& stored,
                 std::uint64_t version);
 
-    // How many tasks of the job fit into the free capacity of such a machine, at most 1000; 0 where
-    // the job may not run there.
+    // The number of tasks of the job that fit into the free capacity of such a machine, at most
+    // 1000; 0 if the job may not run on such a machine.
     static std::uint32_t slots(const JobSpec& spec, Id machine_type, Id zone, bool spot,
                                const Resources& free);
     // The number of tasks in a placement record of the job.
@@ -123,9 +126,9 @@
 
     std::vector<MachineType> machine_types_;
     std::vector<Team> teams_;
-    std::vector<Resources> used_;  // by team
+    std::vector<Resources> team_usage_;  // by team index
     std::unordered_map<std::string, Id> job_ids_;
-    std::vector<Id> free_jobs_;  // indices to be used again
+    std::vector<Id> free_job_indices_;  // available for reuse
     std::unordered_map<std::string, Id> machine_ids_;
 };
 
--- a/src/bookkeeping/cluster_state_records.cpp
+++ b/src/bookkeeping/cluster_state_records.cpp
@@ -1,5 +1,5 @@
-// The durable side of the cluster state: what is written of it, what is known to be written, and
-// what a new leader loads.
+// Persistence of the cluster state: which placement records to write, what the store is known to
+// hold, and how a new leader loads jobs and placements.
 #include <algorithm>
 #include <memory>
 
@@ -79,7 +79,8 @@
     }
     Id machine = find_machine(record.machine);
     if (machine == kNone) {
-        // Its machine has left the registry, which is only done once it has surely terminated.
+        // The machine is no longer in the registry. It is removed from there only once it is known
+        // to have terminated.
         loaded.phase = TaskPhase::pending;
         return;
     }
@@ -119,7 +120,7 @@
         job.next_unassigned =
             std::min(job.spec.tasks, (last_record + 1) * job.spec.tasks_per_record);
     }
-    // Of the others, those that are neither done nor assigned are to be placed again.
+    // All other tasks that are neither done nor assigned are queued to be placed again.
     for (std::uint32_t i = 0; i < job.next_unassigned; ++i) {
         if (task({job_id, i}).phase == TaskPhase::pending) {
             job.retry_queue.push_back(i);
--- a/src/bookkeeping/controller_records.hpp
+++ b/src/bookkeeping/controller_records.hpp
@@ -1,6 +1,6 @@
-// The stored records that controllers write of themselves: the leader, the feature level that each
-// supports, and the relays of a leader's lease. All decoders give nothing for a value that is no
-// such record.
+// The records that controllers store about themselves: which one is the leader, the feature level
+// that each supports, and which ones answer workers on the leader's behalf. Every decoder returns
+// nullopt if the value is not a record of its type.
 #pragma once
 
 #include <cstdint>
@@ -11,29 +11,31 @@
 
 namespace walkford {
 
-// The feature level that a controller's version supports.
+// Returns the value stored for the feature level that a controller's version supports.
 Json encode_announcement(std::uint32_t level);
-// The announced feature level.
+// Returns the announced feature level.
 std::optional<std::uint32_t> decode_announcement(const Json& value);
 
-// A controller answers the workers of a zone for the leader with that fencing token.
+// States that a controller answers the workers of a zone on behalf of the leader that holds this
+// fencing token.
 struct RelayRecord {
     std::uint64_t fencing_token = 0;
     std::string zone;
 };
-// The value that is stored for a relay; the controller's name stands in the key.
+// Returns the value stored for a relay. The controller's name is part of the key, not of the value.
 Json encode_relay(const RelayRecord& relay);
-// The stored relay.
+// Returns the stored relay.
 std::optional<RelayRecord> decode_relay(const Json& value);
 
-// Who leads. The record is bound to the leader's lease: it goes when that expires.
+// Identifies the leader. The record is attached to the leader's lease: the store deletes it when
+// the lease expires.
 struct LeaderRecord {
     std::string controller;
     std::string incarnation;  // of the controller's process
 };
-// The value that is stored for the leader.
+// Returns the value stored for the leader.
 Json encode_leader(const LeaderRecord& leader);
-// The stored leader.
+// Returns the stored leader.
 std::optional<LeaderRecord> decode_leader(const Json& value);
 
 }  // namespace walkford
--- a/src/bookkeeping/finished_job_record.cpp
+++ b/src/bookkeeping/finished_job_record.cpp
@@ -5,6 +5,7 @@
 namespace walkford {
 
 namespace {
+// Fields of a stored finished job.
 constexpr const char* kStatus = "s";
 constexpr const char* kTasks = "n";
 
--- a/src/bookkeeping/finished_job_record.hpp
+++ b/src/bookkeeping/finished_job_record.hpp
@@ -1,4 +1,5 @@
-// The stored record of a job that is done or cancelled: what its user is still answered.
+// The stored record of a job that is done or cancelled, from which requests for the job's status
+// are still answered.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +15,9 @@
     std::uint32_t tasks = 0;
 };
 
-// The value that is stored for the end of a job; its id stands in the key.
+// Returns the value stored for a finished job. The job's id is part of the key, not of the value.
 Json encode_ended(const EndedRecord& ended);
-// Nothing where the value is no such record.
+// Returns nullopt if the value is not such a record.
 std::optional<EndedRecord> decode_ended(const Json& value);
 
 }  // namespace walkford
--- a/src/bookkeeping/free_capacity.hpp
+++ b/src/bookkeeping/free_capacity.hpp
@@ -1,7 +1,7 @@
-// The free capacity of the schedulable machines, as a round of placement sees it: grouped by
-// machine type, zone and price model, small enough to be looked through for every job that waits.
-// With two thousand machines and hundreds of waiting jobs, a look at the cluster state for each
-// pair took seconds.
+// The free capacity of the schedulable machines during one placement round, grouped by machine
+// type, zone and price model. It is compact enough to be scanned for every waiting job. With 2,000
+// machines and hundreds of waiting jobs, examining the cluster state for each pair of a machine and
+// a job took seconds.
 #pragma once
 
 #include <vector>
@@ -11,15 +11,15 @@
 
 namespace walkford {
 
-// A copy of what the machines have free. Built at the beginning of a round; whoever assigns a task
-// to a machine, or takes one off it, calls update().
+// A copy of the machines' free capacity, built at the beginning of a placement round. Code that
+// assigns a task to a machine or unassigns one must call update().
 class FreeCapacity {
   public:
-    // What one machine has free.
+    // The free capacity of one machine.
     struct MachineCapacity {
         Id machine = kNone;
         Resources free;
-        bool recently_failed = false;  // tasks failed there since its last success
+        bool recently_failed = false;  // tasks have failed on it since its last success
     };
     // Schedulable machines of one machine type, zone and price model.
     struct MachineGroup {
@@ -27,12 +27,13 @@
         Id zone = kNone;
         bool spot = false;
         Resources size;  // of each machine
-        // Of each resource, an upper bound of what any of the machines has free.
+        // For each resource, an upper bound on the free amount of any machine in the group.
         Resources largest_free;
         std::vector<MachineCapacity> machines;
     };
 
-    // Starts anew with the machines named, in that order.
+    // Replaces the contents with the given machines, in that order. Omits machines whose type the
+    // cloud does not offer.
     void build(const ClusterState& cluster, const std::vector<Id>& schedulable) {
         groups_.clear();
         positions_.assign(cluster.machines.size(), {});
@@ -58,7 +59,7 @@
         }
     }
 
-    // Reads again what the machine has free; nothing happens if it isn't among them.
+    // Refreshes the free capacity of the machine. Does nothing if the machine is not included.
     void update(const ClusterState& cluster, Id machine) {
         const Position& position = positions_.at(machine);
         if (position.group == kNone) {
@@ -70,19 +71,19 @@
         raise(group.largest_free, capacity.free);
     }
 
-    // The groups, in the order of their first machine.
+    // The groups, ordered by the first occurrence of one of their machines.
     const std::vector<MachineGroup>& groups() const { return groups_; }
 
-    // Whether the job's constraints allow a machine of the group, were it empty.
+    // Whether the job's constraints allow machines of the group, regardless of their free capacity.
     static bool allowed(const JobSpec& spec, const MachineGroup& group) {
         return spec.allows_machine_type(group.machine_type) &&
                (spec.zone == kNone || spec.zone == group.zone) && (spec.spot || !group.spot);
     }
 
   private:
-    // Where a machine stands in groups_.
+    // The location of a machine in groups_.
     struct Position {
-        Id group = kNone;  // kNone: it isn't among the schedulable machines
+        Id group = kNone;  // kNone: the machine is not schedulable
         Id index = kNone;
     };
 
@@ -92,7 +93,7 @@
     }
 
     std::vector<MachineGroup> groups_;
-    std::vector<Position> positions_;  // by machine
+    std::vector<Position> positions_;  // by machine index
 };
 
 }  // namespace walkford
--- a/src/bookkeeping/job_record.cpp
+++ b/src/bookkeeping/job_record.cpp
@@ -7,9 +7,9 @@
 namespace {
 // Fields of a stored job.
 constexpr const char* kStatus = "s";
-// Version 0.3.0 reads the number of tasks from `n` and takes any job that is no gang for an array,
-// which ends. A service names its number `N`: that version can't read the record, so that it never
-// runs a service as an array.
+// Version 0.3.0 reads the number of tasks from `n` and treats every job that is not a gang as an
+// array, whose tasks run to completion only once. A service stores its number of replicas in `N`
+// instead, so that version 0.3.0 can't read the record and never runs a service as an array.
 constexpr const char* kTasks = "n";
 constexpr const char* kReplicas = "N";
 constexpr const char* kTasksPerRecord = "c";
@@ -17,7 +17,7 @@
 constexpr const char* kJobClass = "l";
 constexpr const char* kPriority = "p";
 constexpr const char* kFlags = "f";
-constexpr const char* kResourcesEach = "r";  // cores, GPUs, memory
+constexpr const char* kResourcesEach = "r";  // cores, GPUs, memory in GB
 constexpr const char* kTimes = "t";          // estimate, checkpoint interval and duration, deadline
 constexpr const char* kMachineTypes = "k";
 constexpr const char* kZone = "z";
--- a/src/bookkeeping/job_record.hpp
+++ b/src/bookkeeping/job_record.hpp
@@ -9,18 +9,20 @@
 
 namespace walkford {
 
-// A job as it is stored: what was submitted, and whether it has been cancelled since.
+// A job as it is stored: the submitted specification, and whether it has been cancelled since.
 struct JobRecord {
     JobSpec spec;
     bool cancelled = false;
 };
 
-// The value that is stored for a job; its id stands in the key.
+// Returns the value stored for a job. The job's id is part of the key, not of the value.
 Json encode_job(const JobRecord& job, const Names& names);
-// A cancelled job without what only a start would need: for a record that has grown too large to be
-// written again under lower limits of the state service.
+// Returns the value stored for a cancelled job, without the fields that are needed only to start
+// tasks. It is for a record that exceeds the store's size limit because the limit has been lowered
+// since the record was written.
 Json encode_cancelled_job(const JobSpec& spec, const Names& names);
-// Nothing where the value is no job that this version can read. Adds its names to `names`.
+// Returns nullopt if the value is not a job that this version can read. Adds the names in the
+// record to `names`.
 std::optional<JobRecord> decode_job(const std::string& id, const Json& value, Names& names);
 
 }  // namespace walkford
--- a/src/bookkeeping/json.hpp
+++ b/src/bookkeeping/json.hpp
@@ -5,7 +5,7 @@
 
 namespace walkford {
 
-// A JSON value; its objects are sorted by key, so that equal values have equal bytes.
+// A JSON value. Its objects are sorted by key, so that equal values are serialised to equal bytes.
 using Json = nlohmann::json;
 
 }  // namespace walkford
--- a/src/bookkeeping/machine_group_key.hpp
+++ b/src/bookkeeping/machine_group_key.hpp
@@ -1,4 +1,5 @@
-// Key of a machine group: what a scale-out request asks the cloud for.
+// The key of a machine group, which identifies the kind of machine that a scale-out request asks
+// for.
 #pragma once
 
 #include <compare>
@@ -7,7 +8,8 @@
 
 namespace walkford {
 
-// Machines that the cloud treats alike: its capacity is asked for, granted and refused per group.
+// Identifies machines that the cloud does not distinguish: capacity is requested, granted and
+// refused per group.
 struct MachineGroupKey {
     Id machine_type = kNone;
     Id zone = kNone;
--- a/src/bookkeeping/machine_types_record.cpp
+++ b/src/bookkeeping/machine_types_record.cpp
@@ -5,7 +5,7 @@
 namespace walkford {
 
 namespace {
-// A machine type is stored as a row; these are the places in it.
+// A machine type is stored as an array; these are the indices of its elements.
 constexpr std::size_t kName = 0;
 constexpr std::size_t kCpus = 1;
 constexpr std::size_t kGpus = 2;
@@ -22,7 +22,7 @@
     for (Id zone : machine_type.zones) {
         zones.push_back(names.zones.name(zone));
     }
-    // In the order of the places above.
+    // In the order of the indices above.
     return Json::array({names.machine_types.name(machine_type.id), machine_type.size.cpus,
                         machine_type.size.gpus, machine_type.size.ram, machine_type.cache_gb,
                         machine_type.fetch_gb_per_s, machine_type.price, machine_type.spot_price,
--- a/src/bookkeeping/machine_types_record.hpp
+++ b/src/bookkeeping/machine_types_record.hpp
@@ -1,5 +1,5 @@
-// The stored list of the cloud's machine types, by which a new leader starts before the cloud has
-// answered it.
+// The stored list of the cloud's machine types, which lets a new leader work before the cloud has
+// answered its first request.
 #pragma once
 
 #include <vector>
@@ -9,9 +9,10 @@
 
 namespace walkford {
 
-// The value that is stored for the machine types.
+// Returns the value stored for the machine types.
 Json encode_machine_types(const std::vector<MachineType>& machine_types, const Names& names);
-// Empty where the value is no such list. Adds machine types and zones to `names`.
+// Returns an empty list if the value is not such a record. Adds the names of machine types and
+// zones to `names`.
 std::vector<MachineType> decode_machine_types(const Json& value, Names& names);
 
 }  // namespace walkford
--- a/src/bookkeeping/number_series.cpp
+++ b/src/bookkeeping/number_series.cpp
@@ -3,8 +3,8 @@
 namespace walkford {
 
 namespace {
-constexpr std::uint64_t kSymbols = 92;  // printable characters but for the two that JSON escapes
-constexpr std::uint64_t kMaxRun = 9;    // numbers without a gap in one symbol
+constexpr std::uint64_t kSymbols = 92;  // printable characters except the two that JSON escapes
+constexpr std::uint64_t kMaxRun = 9;    // most consecutive numbers in one symbol
 constexpr std::size_t kLongStepDigits = 9;
 
 // What the first symbol of an entry means, by its range:
@@ -12,11 +12,11 @@
 constexpr std::uint64_t kFirstRun = 56;
 // [kFirstRun, kFirstMiddleStep): a run of 2 to kMaxRun numbers.
 constexpr std::uint64_t kFirstMiddleStep = kFirstRun + kMaxRun - 1;
-// [kFirstMiddleStep, kLongStep): the high digit of a step; the low one follows.
+// [kFirstMiddleStep, kLongStep): the high digit of a step; the next symbol is the low digit.
 constexpr std::uint64_t kLongStep = kSymbols - 1;
-// kLongStep: any other step follows in kLongStepDigits digits, the lowest first.
+// kLongStep: any other step, which follows in kLongStepDigits digits, least significant first.
 
-// The smallest step of two symbols, and how many such steps there are.
+// The smallest step that takes two symbols, and the number of such steps.
 constexpr std::uint64_t kMinMiddleStep = kFirstRun + 1;
 constexpr std::uint64_t kMiddleSteps = (kLongStep - kFirstMiddleStep) * kSymbols;
 
@@ -31,16 +31,16 @@
     return character;
 }
 
-// kSymbols where the character stands for none.
+// Returns kSymbols if the character encodes no symbol.
 std::uint64_t to_symbol(char character) {
     if (character < ' ' || character > '~' || character == '"' || character == '\\') {
         return kSymbols;
     }
-    int escaped_below = (character > '"' ? 1 : 0) + (character > '\\' ? 1 : 0);
-    return static_cast<std::uint64_t>(character - ' ' - escaped_below);
+    int escaped_characters_below = (character > '"' ? 1 : 0) + (character > '\\' ? 1 : 0);
+    return static_cast<std::uint64_t>(character - ' ' - escaped_characters_below);
 }
 
-// How many numbers from `first` on follow each other without a gap, up to kMaxRun.
+// The length of the run of consecutive numbers that begins at index `first`, at most kMaxRun.
 std::size_t run_length(const std::vector<std::uint64_t>& numbers, std::size_t first) {
     std::size_t run = 1;
     while (run < kMaxRun && first + run < numbers.size() &&
@@ -58,7 +58,8 @@
         text.push_back(to_character(kFirstMiddleStep + step / kSymbols));
         text.push_back(to_character(step % kSymbols));
     } else {
-        // Any other, also 0 at the beginning, for which the subtraction above wraps around.
+        // Any other step. This includes 0 for a first number of 0, since the subtraction in the
+        // condition above wraps around.
         text.push_back(to_character(kLongStep));
         for (std::size_t digit = 0; digit < kLongStepDigits; ++digit) {
             text.push_back(to_character(step % kSymbols));
@@ -67,14 +68,14 @@
     }
 }
 
-// Reads symbols from a text, one after the other.
+// Reads the symbols of a text in order.
 class SymbolReader {
   public:
     explicit SymbolReader(const std::string& text) : text_(text) {}
 
     bool at_end() const { return position_ >= text_.size(); }
 
-    // Nothing at the end, and for a character that stands for no symbol.
+    // Returns nullopt at the end, and for a character that encodes no symbol.
     std::optional<std::uint64_t> next() {
         if (at_end()) {
             return std::nullopt;
@@ -98,14 +99,14 @@
 
 std::optional<std::uint64_t> read_long_step(SymbolReader& reader) {
     std::uint64_t step = 0;
-    std::uint64_t unit = 1;
+    std::uint64_t place_value = 1;
     for (std::size_t i = 0; i < kLongStepDigits; ++i) {
         auto digit = reader.next();
         if (!digit) {
             return std::nullopt;
         }
-        step += unit * *digit;
-        unit *= kSymbols;
+        step += place_value * *digit;
+        place_value *= kSymbols;
     }
     return step;
 }
@@ -113,16 +114,16 @@
 
 std::string encode_number_series(const std::vector<std::uint64_t>& numbers) {
     std::string text;
-    std::uint64_t last = 0;
+    std::uint64_t previous = 0;
     for (std::size_t i = 0; i < numbers.size();) {
         std::size_t run = run_length(numbers, i);
-        if (run >= 2 && numbers[i] == last + 1) {
+        if (run >= 2 && numbers[i] == previous + 1) {
             text.push_back(to_character(kFirstRun + run - 2));
-            last += run;
+            previous += run;
             i += run;
         } else {
-            append_step(text, numbers[i] - last);
-            last = numbers[i++];
+            append_step(text, numbers[i] - previous);
+            previous = numbers[i++];
         }
     }
     return text;
@@ -130,7 +131,7 @@
 
 std::optional<std::vector<std::uint64_t>> decode_number_series(const std::string& text) {
     std::vector<std::uint64_t> numbers;
-    std::uint64_t last = 0;
+    std::uint64_t previous = 0;
     SymbolReader reader(text);
     while (!reader.at_end()) {
         auto symbol = reader.next();
@@ -139,7 +140,7 @@
         }
         if (*symbol >= kFirstRun && *symbol < kFirstMiddleStep) {
             for (std::uint64_t run = *symbol - kFirstRun + 2; run > 0; --run) {
-                numbers.push_back(++last);
+                numbers.push_back(++previous);
             }
             continue;
         }
@@ -149,8 +150,8 @@
         if (!step) {
             return std::nullopt;
         }
-        last += *step;
-        numbers.push_back(last);
+        previous += *step;
+        numbers.push_back(previous);
     }
     return numbers;
 }
--- a/src/bookkeeping/number_series.hpp
+++ b/src/bookkeeping/number_series.hpp
@@ -1,10 +1,11 @@
-// A compact text for a list of ascending numbers, so that one stored value of a few KiB holds
-// hundreds of machine names.
+// A compact text encoding of a list of ascending numbers, which lets one stored value of a few KiB
+// hold hundreds of machine names.
 //
-// The text consists of printable characters that JSON doesn't escape; each stands for a symbol from
-// 0 to 91. A step to the next number takes one symbol up to 56, two up to 2,540, else ten; and up
-// to 9 numbers that follow each other without a gap take one. (As decimal steps, 662 machines
-// filled a value of 4 KiB.)
+// The text consists of printable characters that JSON doesn't escape; each encodes a symbol from 0
+// to 91. The list is encoded as the differences (steps) between successive numbers: a step of up to
+// 56 takes one symbol, a step of up to 2,540 takes two, and any other takes ten. A run of up to 9
+// consecutive numbers takes one symbol. With steps written as decimal numbers, 662 machines filled
+// a value of 4 KiB.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +18,7 @@
 // Encodes numbers below 2^58 in ascending order, each at most once.
 std::string encode_number_series(const std::vector<std::uint64_t>& numbers);
 
-// Nothing where the text is not of this form.
+// Returns nullopt if the text is not a valid encoding.
 std::optional<std::vector<std::uint64_t>> decode_number_series(const std::string& text);
 
 }  // namespace walkford
--- a/src/bookkeeping/placement_record.cpp
+++ b/src/bookkeeping/placement_record.cpp
@@ -5,11 +5,12 @@
 namespace walkford {
 
 namespace {
+// Fields of a stored placement record. Tasks are given by their index within the record.
 constexpr const char* kDone = "d";      // ranges: first, last, first, last, ...
 constexpr const char* kAttempts = "a";  // of tasks on no machine: task, attempt, task, attempt, ...
-constexpr const char* kMachines = "m";  // by name, each with: task, attempt, task, attempt, ...
+constexpr const char* kMachines = "m";  // by machine name: task, attempt, task, attempt, ...
 
-// Appends a task to a list of ranges, which is in ascending order.
+// Appends a task to a list of ranges in ascending order, extending the last range if possible.
 void append_to_ranges(Json& ranges, std::size_t task) {
     bool extends_last = !ranges.empty() && ranges.back().get<std::size_t>() + 1 == task;
     if (extends_last) {
--- a/src/bookkeeping/placement_record.hpp
+++ b/src/bookkeeping/placement_record.hpp
@@ -1,4 +1,4 @@
-// The stored placement record: on which machines a range of a job's tasks runs.
+// The stored placement record, which says on which machines a range of a job's tasks runs.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,19 @@
 
 // One task, as it is stored.
 struct TaskRecord {
-    std::uint32_t attempt = 0;  // the highest ever used; only rises
+    std::uint32_t attempt = 0;  // the highest one ever used; never decreases
     bool done = false;
-    std::string machine;  // empty: placed nowhere
+    std::string machine;  // empty: not placed
     bool operator==(const TaskRecord&) const = default;
 };
 
-// The value that is stored for tasks [first, first + n) of a job: done ones as ranges, placed ones
-// with machine and attempt, the rest only where an attempt was used.
+// Returns the value stored for a range of consecutive tasks of a job: ranges of tasks that are
+// done, the machine and attempt of each placed task, and the attempt of any other task that was
+// placed before.
 Json encode_placement_record(const std::vector<TaskRecord>& tasks);
-// Sets `tasks`, which has the record's size already. False where the value is no such record or
-// names a task beyond its size; `tasks` is then not to be used.
+// Sets the elements of `tasks`, which must already have the record's size. Returns false if the
+// value is not such a record or names a task beyond that size; the contents of `tasks` are then
+// undefined.
 bool decode_placement_record(const Json& value, std::vector<TaskRecord>& tasks);
 
 }  // namespace walkford
--- a/src/bookkeeping/records.hpp
+++ b/src/bookkeeping/records.hpp
@@ -1,6 +1,6 @@
-// The records that stand in the state service, and their keys. Names, not indices, are stored: an
-// index means something in one process only. A record's fields are named in its codec and nowhere
-// else; they never change, as another version may read them.
+// The records in the store, and their keys. Records contain names rather than indices, since an
+// index is valid within one process only. A record's fields are named in its codec and nowhere
+// else; the field names never change, because another version may read the record.
 #pragma once
 
 #include "bookkeeping/controller_records.hpp"
--- a/src/bookkeeping/registry_record.cpp
+++ b/src/bookkeeping/registry_record.cpp
@@ -14,8 +14,8 @@
 // Fields of a stored part of the registry.
 constexpr const char* kNextRequestNumber = "n";
 constexpr const char* kFirstScaleOutDone = "f";
-constexpr const char* kMachineTypes = "k";      // names, which the rows refer to by their place
-constexpr const char* kZones = "z";             // names, which the rows refer to by their place
+constexpr const char* kMachineTypes = "k";      // list of names, to which rows refer by index
+constexpr const char* kZones = "z";             // list of names, to which rows refer by index
 constexpr const char* kMachines = "m";          // prefix, width, machine type, zone, flags, numbers
 constexpr const char* kPermanent = "p";         // prefix, width, numbers
 constexpr const char* kReleasing = "r";         // prefix, width, numbers
@@ -23,46 +23,46 @@
 
 // Bits of the flags of a row of machines and of a scale-out request.
 constexpr int kFlagSpot = 1;
-constexpr int kFlagPermanent = 2;  // of a row of machines: written by earlier versions only
-constexpr int kFlagReleasing = 4;  // of a row of machines: written by earlier versions only
+constexpr int kFlagPermanent = 2;  // in rows of machines, written by earlier versions only
+constexpr int kFlagReleasing = 4;  // in rows of machines, written by earlier versions only
 
-// Names of machines that differ in their number only: `host-000231` has the prefix `host-` and the
-// width 6.
+// Identifies machine names that differ in their number only: `host-000231` has the prefix `host-`
+// and the width 6.
 struct NameSeries {
     std::string prefix;
     int width = 0;  // digits of the number; 0: the prefix is the whole name
     auto operator<=>(const NameSeries&) const = default;
 };
 
-// A machine's name, divided.
+// A machine's name, split into its series and its number.
 struct NumberedName {
     NameSeries series;
     std::uint64_t number = 0;
 };
 
-// Machines that share a row: they differ in their number only.
-struct MachineGroup {
+// Identifies the machines that are stored in one row, which differ in their number only.
+struct MachineRowKey {
     NameSeries series;
-    std::size_t machine_type = 0;  // place in the list of names
-    std::size_t zone = 0;          // place in the list of names
+    std::size_t machine_type = 0;  // index in the list of names
+    std::size_t zone = 0;          // index in the list of names
     int flags = 0;
-    auto operator<=>(const MachineGroup&) const = default;
+    auto operator<=>(const MachineRowKey&) const = default;
 };
 
 using Numbers = std::vector<std::uint64_t>;
 
 NumberedName split_name(const std::string& name) {
     constexpr std::size_t kMaxDigits = 15;
-    std::size_t cut = name.size();
-    while (cut > 0 && name[cut - 1] >= '0' && name[cut - 1] <= '9' &&
-           name.size() - cut < kMaxDigits) {
-        --cut;
+    std::size_t prefix_length = name.size();
+    while (prefix_length > 0 && name[prefix_length - 1] >= '0' && name[prefix_length - 1] <= '9' &&
+           name.size() - prefix_length < kMaxDigits) {
+        --prefix_length;
     }
     std::uint64_t number = 0;
-    if (cut < name.size()) {
-        std::from_chars(name.data() + cut, name.data() + name.size(), number);
+    if (prefix_length < name.size()) {
+        std::from_chars(name.data() + prefix_length, name.data() + name.size(), number);
     }
-    return {{name.substr(0, cut), static_cast<int>(name.size() - cut)}, number};
+    return {{name.substr(0, prefix_length), static_cast<int>(name.size() - prefix_length)}, number};
 }
 
 std::string join_name(const NameSeries& series, std::uint64_t number) {
@@ -76,26 +76,26 @@
     return series.prefix + digits;
 }
 
-// Names that rows refer to by their place, in the order in which they were first used.
+// A list of names in the order of their first use, to which rows refer by index.
 class NameList {
   public:
-    std::size_t place_of(const std::string& name) {
-        return places_.try_emplace(name, places_.size()).first->second;
+    std::size_t index_of(const std::string& name) {
+        return indices_.try_emplace(name, indices_.size()).first->second;
     }
 
     Json encode() const {
         Json list = Json::array();
-        for (std::size_t i = 0; i < places_.size(); ++i) {
+        for (std::size_t i = 0; i < indices_.size(); ++i) {
             list.push_back("");
         }
-        for (const auto& [name, place] : places_) {
-            list[place] = name;
+        for (const auto& [name, index] : indices_) {
+            list[index] = name;
         }
         return list;
     }
 
   private:
-    std::map<std::string, std::size_t> places_;
+    std::map<std::string, std::size_t> indices_;
 };
 
 std::string encode_numbers(Numbers& numbers) {
@@ -104,8 +104,8 @@
     return encode_number_series(numbers);
 }
 
-// Permanent machines and those being released are marked in rows of their own: as flags they would
-// split the rows of machines into several times as many.
+// Permanent machines and machines being released are listed in separate rows. As flags of the rows
+// of machines, these properties would multiply the number of rows several times.
 Json encode_marks(std::map<NameSeries, Numbers>& marks) {
     Json rows = Json::array();
     for (auto& [series, numbers] : marks) {
@@ -114,18 +114,19 @@
     return rows;
 }
 
-Json encode_groups(std::map<MachineGroup, Numbers>& groups) {
+Json encode_machine_rows(std::map<MachineRowKey, Numbers>& numbers_by_row) {
     Json rows = Json::array();
-    for (auto& [group, numbers] : groups) {
-        rows.push_back(Json::array({group.series.prefix, group.series.width, group.machine_type,
-                                    group.zone, group.flags, encode_numbers(numbers)}));
+    for (auto& [row_key, numbers] : numbers_by_row) {
+        rows.push_back(
+            Json::array({row_key.series.prefix, row_key.series.width, row_key.machine_type,
+                         row_key.zone, row_key.flags, encode_numbers(numbers)}));
     }
     return rows;
 }
 
 void encode_machines(const std::vector<RegisteredMachine>& machines, const Names& names,
                      NameList& machine_types, NameList& zones, Json& value) {
-    std::map<MachineGroup, Numbers> groups;
+    std::map<MachineRowKey, Numbers> numbers_by_row;
     std::map<NameSeries, Numbers> permanent;
     std::map<NameSeries, Numbers> releasing;
     for (const RegisteredMachine& machine : machines) {
@@ -136,13 +137,13 @@
         if (machine.releasing) {
             releasing[series].push_back(number);
         }
-        MachineGroup group{std::move(series),
-                           machine_types.place_of(names.machine_types.name(machine.machine_type)),
-                           zones.place_of(names.zones.name(machine.zone)),
-                           machine.spot ? kFlagSpot : 0};
-        groups[std::move(group)].push_back(number);
+        MachineRowKey row_key{
+            std::move(series),
+            machine_types.index_of(names.machine_types.name(machine.machine_type)),
+            zones.index_of(names.zones.name(machine.zone)), machine.spot ? kFlagSpot : 0};
+        numbers_by_row[std::move(row_key)].push_back(number);
     }
-    value[kMachines] = encode_groups(groups);
+    value[kMachines] = encode_machine_rows(numbers_by_row);
     if (!permanent.empty()) {
         value[kPermanent] = encode_marks(permanent);
     }
@@ -157,14 +158,14 @@
     for (const ScaleOutRequest& request : requests) {
         int flags = (request.spot ? kFlagSpot : 0) | (request.permanent ? kFlagPermanent : 0);
         rows.push_back(Json::array(
-            {request.name, machine_types.place_of(names.machine_types.name(request.machine_type)),
-             zones.place_of(names.zones.name(request.zone)), flags, request.count}));
+            {request.name, machine_types.index_of(names.machine_types.name(request.machine_type)),
+             zones.index_of(names.zones.name(request.zone)), flags, request.count}));
     }
     return rows;
 }
 
-// Reads one stored value. Its functions throw Json::exception for a value of another form, or
-// return false or nothing for numbers that can't be read.
+// Decodes one stored value. Its functions throw Json::exception if the value has another structure,
+// and return false or nullopt if a number series can't be decoded.
 class RegistryReader {
   public:
     RegistryReader(const Json& value, Names& names)
@@ -185,17 +186,18 @@
     }
 
   private:
-    // Before version 0.2 a row held the names themselves.
-    std::string name(const char* list, const Json& place) const {
-        return has_name_lists_ ? value_.at(list).at(place.get<std::size_t>()).get<std::string>()
-                               : place.get<std::string>();
+    // Before version 0.2, rows contained the names themselves instead of indices.
+    std::string name(const char* list, const Json& index) const {
+        return has_name_lists_ ? value_.at(list).at(index.get<std::size_t>()).get<std::string>()
+                               : index.get<std::string>();
     }
-    Id machine_type(const Json& place) {
-        return names_.machine_types.intern(name(kMachineTypes, place));
+    Id machine_type(const Json& index) {
+        return names_.machine_types.intern(name(kMachineTypes, index));
     }
-    Id zone(const Json& place) { return names_.zones.intern(name(kZones, place)); }
+    Id zone(const Json& index) { return names_.zones.intern(name(kZones, index)); }
 
-    // Before version 0.2 a row held the numbers in full; 0.2 had decimal steps.
+    // Before version 0.2, rows contained the numbers themselves; version 0.2 wrote the differences
+    // between successive numbers as decimal numbers.
     std::optional<Numbers> read_numbers(const Json& column) const {
         if (column.is_string()) {
             return decode_number_series(column.get_ref<const std::string&>());
@@ -273,7 +275,7 @@
     encode_machines(registry.machines, names, machine_types, zones, value);
     value[kScaleOutRequests] =
         encode_scale_out_requests(registry.scale_out_requests, names, machine_types, zones);
-    // Only now do the lists have all names.
+    // The lists of names are complete only after all rows have been encoded.
     value[kMachineTypes] = machine_types.encode();
     value[kZones] = zones.encode();
     return value;
--- a/src/bookkeeping/registry_record.hpp
+++ b/src/bookkeeping/registry_record.hpp
@@ -1,5 +1,5 @@
-// The stored machine registry: which machines we have, permanent or temporary, and the requests for
-// more machines whose response is not yet known.
+// The stored machine registry: the machines obtained from the cloud, permanent or temporary, and
+// the scale-out requests whose response is not known yet.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace walkford {
 
-// A request to the cloud for machines, written before it is sent.
+// A request to the cloud for machines, which is stored before it is sent.
 struct ScaleOutRequest {
     std::string name;  // makes a repeated request idempotent
     Id machine_type = kNone;
@@ -22,7 +22,7 @@
     bool permanent = false;  // asks for permanent machines
 };
 
-// A machine that the cloud has given us.
+// A machine that the cloud has provided.
 struct RegisteredMachine {
     std::string name;
     Id machine_type = kNone;
@@ -32,8 +32,8 @@
     bool releasing = false;  // its release has been decided
 };
 
-// The registry as one small value, or one part of it where one value does not hold all machines. A
-// part but the first has machines only.
+// The whole registry, or one part of it if a single stored value can't hold all machines. Parts
+// other than the first contain machines only.
 struct RegistryRecord {
     std::uint64_t next_request_number = 1;
     bool first_scale_out_done = false;  // later requests are for temporary machines
@@ -41,10 +41,10 @@
     std::vector<RegisteredMachine> machines;
 };
 
-// The value that is stored for a part of the registry.
+// Returns the value stored for a part of the registry.
 Json encode_registry(const RegistryRecord& registry, const Names& names);
-// Reads what this version and all before it have written. Nothing where the value is no such
-// record. Adds machine types and zones to `names`.
+// Reads records written by this version and by all earlier ones. Returns nullopt if the value is
+// not such a record. Adds the names of machine types and zones to `names`.
 std::optional<RegistryRecord> decode_registry(const Json& value, Names& names);
 
 }  // namespace walkford
--- a/src/bookkeeping/stored_keys.cpp
+++ b/src/bookkeeping/stored_keys.cpp
@@ -11,8 +11,8 @@
 std::optional<std::uint32_t> parse_index(std::string_view digits) {
     std::uint32_t index = 0;
     const char* end = digits.data() + digits.size();
-    auto [rest, error] = std::from_chars(digits.data(), end, index);
-    if (error != std::errc() || rest != end) {
+    auto [parsed_end, error] = std::from_chars(digits.data(), end, index);
+    if (error != std::errc() || parsed_end != end) {
         return std::nullopt;
     }
     return index;
@@ -59,9 +59,9 @@
     if (id.size() < kMinLength || id.size() > kMaxLength || id.rfind("j-", 0) != 0) {
         return false;
     }
-    return std::all_of(id.begin() + 2, id.end(), [](unsigned char letter) {
-        return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
-               (letter >= '0' && letter <= '9') || letter == '-' || letter == '_';
+    return std::all_of(id.begin() + 2, id.end(), [](unsigned char character) {
+        return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') ||
+               (character >= '0' && character <= '9') || character == '-' || character == '_';
     });
 }
 
--- a/src/bookkeeping/stored_values.hpp
+++ b/src/bookkeeping/stored_values.hpp
@@ -1,4 +1,4 @@
-// Values of the state service together with the version they were written with.
+// Values in the store, each with the version at which it was written.
 #pragma once
 
 #include <optional>
@@ -8,24 +8,24 @@
 
 namespace walkford {
 
-// A key with its value, as the state service lists it or reports its change.
+// A key with its value, as the store lists it or reports a change of it.
 struct StoreEntry {
     std::string key;
-    std::optional<Json> value;  // nothing: deleted
+    std::optional<Json> value;  // nullopt: deleted
     std::uint64_t version = 0;
 };
 
-// A value as it stands in the state service.
+// A value with its version in the store.
 struct StoredValue {
     Json value;
     std::uint64_t version = 0;
 };
 
-// A job's record as it stands in the state service.
+// A job record with its versions in the store.
 struct StoredJob {
     JobRecord record;
     std::uint64_t version = 0;
-    std::uint64_t created_version = 0;  // the first version seen: the age of the job
+    std::uint64_t created_version = 0;  // the first version seen, which orders jobs by age
 };
 
 }  // namespace walkford
--- a/src/bookkeeping/task.hpp
+++ b/src/bookkeeping/task.hpp
@@ -1,4 +1,4 @@
-// Tasks: where each stands in the cluster state and in the durable record.
+// Tasks: their placement in the cluster state and in the stored placement record.
 #pragma once
 
 #include <compare>
@@ -9,50 +9,51 @@
 
 namespace walkford {
 
-// How far the placement of a task has come, in the leader's view.
+// The progress of a task's placement as the leader knows it.
 enum class TaskPhase : std::uint8_t {
     pending,       // on no machine
-    assigned,      // on a machine in the cluster state; no `run` sent by this leader
-    dispatched,    // `run` went out in an answer; not yet reported
+    assigned,      // to a machine; this leader has not sent `run` for it
+    dispatched,    // `run` was sent in an answer; the worker has not reported it yet
     acknowledged,  // reported by the worker
-    exited,        // reported as ended; not on the machine any more
+    exited,        // reported as ended; no longer on the machine
     done,
 };
 
-// What a worker reports of a task.
+// The state of a task as a worker reports it.
 enum class TaskState : std::uint8_t {
     pulling,  // fetching the image
-    waiting,  // a gang's member: ready, and waiting for the others
+    waiting,  // member of a gang: ready, waiting for the other members
     running,
-    saving,  // being stopped, and writing its checkpoint
+    saving,  // being stopped; writing a checkpoint
     exited,
-    unknown,  // not reported, or a word that this version doesn't know
+    unknown,  // not reported, or a value that this version doesn't know
 };
 
-// A task by its job's index in the cluster state and its own index in the job.
+// Identifies a task by the index of its job in the cluster state and its own index in the job.
 struct TaskRef {
     Id job = kNone;
     std::uint32_t task = 0;
     auto operator<=>(const TaskRef&) const = default;
 };
 
-// One task of a job. `attempt` and `machine` are the leader's view; the durable ones stand in the
-// placement record.
+// One task of a job. `attempt` and `machine` are the leader's current values; those that begin with
+// `durable_` are in the stored placement record.
 struct Task {
-    std::uint32_t attempt = 0;  // how often it was assigned; tells an old run from a new one
+    std::uint32_t attempt = 0;  // number of assignments; distinguishes an old run from a new one
     std::uint32_t durable_attempt = 0;
     Id machine = kNone;
     Id durable_machine = kNone;
     TaskPhase phase = TaskPhase::pending;
     TaskState state = TaskState::unknown;
     bool durable_done = false;
-    // A write that changes the task was sent and is not known to have failed: what the record says
-    // is not known until a later write is answered.
+    // A write that changes the task was sent and is not known to have failed. The contents of the
+    // stored record are unknown until a later write is answered.
     bool write_outcome_unknown = false;
-    bool inherited = false;  // placed by an earlier leader, not yet reported to this one
+    bool inherited = false;  // assigned by an earlier leader and not yet reported to this one
     bool stopping = false;
-    bool rerun = false;  // ended because its gang was incomplete: cleared and run again in place
-    bool failure_not_counted = false;     // stopped by us: counts against neither job nor machine
+    bool rerun = false;  // ended because its gang was incomplete; cleared and run again in place
+    // Stopped by the leader, so that a failure counts against neither the job nor the machine.
+    bool failure_not_counted = false;
     float stop_grace = 0;                 // seconds
     std::uint64_t dispatch_sequence = 0;  // the heartbeat whose answer carried `run`
     std::uint64_t dispatch_incarnation = 0;
@@ -60,21 +61,21 @@
     Ms running_since = -1;
     Ms stop_sent_at = -1;
 
-    // The placement on its machine is durable, so that `run` may be sent.
+    // Whether the current placement is stored durably, so that `run` may be sent.
     bool durable_here() const {
         return machine != kNone && durable_machine == machine && durable_attempt == attempt &&
                !durable_done && !write_outcome_unknown;
     }
 };
 
-// One task in the status of a worker.
+// One task in a worker's status report.
 struct ReportedTask {
     std::string job;  // its id
     std::uint32_t task = 0;
     std::uint32_t attempt = 0;
     TaskState state = TaskState::unknown;
-    std::string cause;            // exited: why
-    bool progress_saved = false;  // exited: with a checkpoint
+    std::string cause;            // why it exited, if it has
+    bool progress_saved = false;  // whether it wrote a checkpoint before it exited
 };
 
 }  // namespace walkford
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -11,34 +11,35 @@
 namespace walkford {
 namespace {
 
-TEST(Records, ChunkComesBackAsWritten) {
-    std::mt19937 rng(7);
+TEST(Records, PlacementRecordIsDecodedAsEncoded) {
+    std::mt19937 generator(7);
     for (int round = 0; round < 300; ++round) {
-        std::vector<TaskRecord> tasks(1 + rng() % 64);
-        for (TaskRecord& t : tasks) {
-            switch (rng() % 4) {
+        std::vector<TaskRecord> tasks(1 + generator() % 64);
+        for (TaskRecord& task : tasks) {
+            switch (generator() % 4) {
                 case 0:
-                    t.done = true;
+                    task.done = true;
                     break;
                 case 1:
-                    t.attempt = 1 + rng() % 9;
-                    t.machine = "host-00000" + std::to_string(rng() % 5);
+                    task.attempt = 1 + generator() % 9;
+                    task.machine = "host-00000" + std::to_string(generator() % 5);
                     break;
                 case 2:
-                    t.attempt = rng() % 3;
+                    task.attempt = generator() % 3;
                     break;
                 default:
                     break;
             }
         }
-        std::vector<TaskRecord> back(tasks.size());
-        ASSERT_TRUE(decode_placement_record(encode_placement_record(tasks), back));
-        ASSERT_EQ(tasks, back);
+        std::vector<TaskRecord> decoded(tasks.size());
+        ASSERT_TRUE(decode_placement_record(encode_placement_record(tasks), decoded));
+        ASSERT_EQ(tasks, decoded);
     }
 }
 
-TEST(Records, FullChunkFitsTheSmallestValue) {
-    // Every task on another machine, with high attempts: the record must stay within 4 KiB.
+TEST(Records, FullPlacementRecordFitsSmallestValueLimit) {
+    // The largest record: each task on a different machine, with high attempt numbers. It must stay
+    // within 4 KiB.
     std::vector<TaskRecord> tasks(64);
     for (std::size_t i = 0; i < tasks.size(); ++i) {
         tasks[i].attempt = 100000;
@@ -47,160 +48,164 @@
     EXPECT_LT(encode_placement_record(tasks).dump().size(), 4096U);
 }
 
-TEST(Records, RegistryComesBackAsWritten) {
+TEST(Records, RegistryIsDecodedAsEncoded) {
     Names names;
-    RegistryRecord r;
-    r.next_request_number = 12;
-    r.first_scale_out_done = true;
-    r.scale_out_requests.push_back(
+    RegistryRecord registry;
+    registry.next_request_number = 12;
+    registry.first_scale_out_done = true;
+    registry.scale_out_requests.push_back(
         {"w5-11", names.machine_types.intern("k1"), names.zones.intern("a"), true, 3, false});
     for (int i = 0; i < 200; ++i) {
-        r.machines.push_back({"host-" + std::to_string(100200 + i),
-                              names.machine_types.intern("k2"),
-                              names.zones.intern(i % 2 ? "a" : "b"), i % 3 == 0, i < 4, false});
+        registry.machines.push_back(
+            {"host-" + std::to_string(100200 + i), names.machine_types.intern("k2"),
+             names.zones.intern(i % 2 ? "a" : "b"), i % 3 == 0, i < 4, false});
     }
-    Json v = encode_registry(r, names);
-    EXPECT_LT(v.dump().size(), 4096U);
-    auto back = decode_registry(v, names);
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->scale_out_requests.size(), 1U);
-    EXPECT_EQ(back->scale_out_requests[0].name, "w5-11");
-    std::set<std::string> a, b;
-    for (const RegisteredMachine& h : r.machines) {
-        a.insert(h.name + (h.permanent ? "p" : "t"));
+    Json value = encode_registry(registry, names);
+    EXPECT_LT(value.dump().size(), 4096U);
+    auto decoded = decode_registry(value, names);
+    ASSERT_TRUE(decoded);
+    EXPECT_EQ(decoded->scale_out_requests.size(), 1U);
+    EXPECT_EQ(decoded->scale_out_requests[0].name, "w5-11");
+    std::set<std::string> expected, actual;
+    for (const RegisteredMachine& machine : registry.machines) {
+        expected.insert(machine.name + (machine.permanent ? "p" : "t"));
     }
-    for (const RegisteredMachine& h : back->machines) {
-        b.insert(h.name + (h.permanent ? "p" : "t"));
+    for (const RegisteredMachine& machine : decoded->machines) {
+        actual.insert(machine.name + (machine.permanent ? "p" : "t"));
     }
-    EXPECT_EQ(a, b);
+    EXPECT_EQ(expected, actual);
 }
 
-TEST(Records, MachineNameWithLeadingZeroesSurvives) {
+TEST(Records, RegistryPreservesLeadingZeroesInMachineNames) {
     Names names;
-    RegistryRecord r;
-    for (const char* n : {"host-000001", "host-1", "odd", "x-007y", "99"}) {
-        r.machines.push_back(
-            {n, names.machine_types.intern("k"), names.zones.intern("a"), false, false, false});
+    RegistryRecord registry;
+    for (const char* name : {"host-000001", "host-1", "odd", "x-007y", "99"}) {
+        registry.machines.push_back(
+            {name, names.machine_types.intern("k"), names.zones.intern("a"), false, false, false});
     }
-    auto back = decode_registry(encode_registry(r, names), names);
-    ASSERT_TRUE(back);
+    auto decoded = decode_registry(encode_registry(registry, names), names);
+    ASSERT_TRUE(decoded);
     std::set<std::string> found;
-    for (const RegisteredMachine& h : back->machines) {
-        found.insert(h.name);
+    for (const RegisteredMachine& machine : decoded->machines) {
+        found.insert(machine.name);
     }
     EXPECT_EQ(found, (std::set<std::string>{"host-000001", "host-1", "odd", "x-007y", "99"}));
 }
 
-TEST(Records, IdsThatCouldBecomeOtherKeysAreRefused) {
-    for (const char* bad : {"", "j-", "x-1", "j-1/2", "j-a b", "j-../x", "j-\n1", "J-1"}) {
-        EXPECT_FALSE(job_id_ok(bad)) << bad;
+TEST(Records, RejectsJobIdsThatCouldFormOtherKeys) {
+    for (const char* invalid_id : {"", "j-", "x-1", "j-1/2", "j-a b", "j-../x", "j-\n1", "J-1"}) {
+        EXPECT_FALSE(job_id_ok(invalid_id)) << invalid_id;
     }
     EXPECT_FALSE(job_id_ok("j-" + std::string(200, '1')));
     EXPECT_TRUE(job_id_ok("j-000412"));
 }
 
-// The largest deployment: 662 machines, the longest names that a cloud gives, in every combination
-// of kind, zone, mark and sort, with rentals open, within the state service's 4 KiB.
-// Half as many again as the largest fleet, of 6,000 that were rented during the day: what remains
-// of rentals of every size, in four zones, a tenth on its way back, and a dozen rentals open. In
-// decimal steps it would not fit; what does not fit can't be rented.
-TEST(RegistryTest, HoldsTheLargestFleetInOneSmallValue) {
+// A registry that exceeds the store's value limit of 4 KiB can't be written, so that no more
+// machines can be requested. The test encodes 2,000 machines, half as many again as the largest
+// deployment has. They are left over from 6,000 that were requested during one day by scale-out
+// requests of 1 to 50 machines, in all combinations of machine type, zone and price model. A tenth
+// of them is being released, and 12 scale-out requests are pending. Steps written as decimal
+// numbers would exceed the limit; they already filled 4 KiB with 662 machines.
+TEST(RegistryTest, LargestDeploymentFitsSmallestValueLimit) {
     Names names;
-    RegistryRecord r;
-    r.next_request_number = 99999;
-    r.first_scale_out_done = true;
+    RegistryRecord registry;
+    registry.next_request_number = 99999;
+    registry.first_scale_out_done = true;
     const char* machine_types[] = {"chhota", "madhyam", "gajraj"};
     const char* zones[] = {"sabarmati", "tapi", "mahi-right-bank", "narmada-canal"};
-    std::mt19937 rng(7);
-    auto upto = [&](unsigned n) { return static_cast<unsigned>(rng() % n); };
+    std::mt19937 generator(7);
+    auto random_below = [&](unsigned bound) { return static_cast<unsigned>(generator() % bound); };
     std::vector<RegisteredMachine> requested;
     while (requested.size() < 6000) {
-        RegisteredMachine h;
-        h.machine_type = names.machine_types.intern(machine_types[upto(3)]);
-        h.zone = names.zones.intern(zones[upto(4)]);
-        h.spot = upto(2) == 0;
-        for (unsigned left = 1 + upto(50); left > 0 && requested.size() < 6000; --left) {
-            h.name = "host-" + std::to_string(100000 + requested.size());
-            requested.push_back(h);
+        RegisteredMachine machine;
+        machine.machine_type = names.machine_types.intern(machine_types[random_below(3)]);
+        machine.zone = names.zones.intern(zones[random_below(4)]);
+        machine.spot = random_below(2) == 0;
+        for (unsigned remaining = 1 + random_below(50); remaining > 0 && requested.size() < 6000;
+             --remaining) {
+            machine.name = "host-" + std::to_string(100000 + requested.size());
+            requested.push_back(machine);
         }
     }
-    std::shuffle(requested.begin(), requested.end(), rng);
+    std::shuffle(requested.begin(), requested.end(), generator);
     requested.resize(2000);
-    for (RegisteredMachine& h : requested) {
-        h.permanent = upto(20) == 0;
-        h.releasing = upto(10) == 0;
-        r.machines.push_back(h);
+    for (RegisteredMachine& machine : requested) {
+        machine.permanent = random_below(20) == 0;
+        machine.releasing = random_below(10) == 0;
+        registry.machines.push_back(machine);
     }
     for (int i = 0; i < 12; ++i) {
-        r.scale_out_requests.push_back({"w1234567-9999" + std::to_string(i),
-                                        names.machine_types.intern(machine_types[i % 3]),
-                                        names.zones.intern(zones[i % 4]), i % 2 == 0, 50, false});
+        registry.scale_out_requests.push_back(
+            {"w1234567-9999" + std::to_string(i), names.machine_types.intern(machine_types[i % 3]),
+             names.zones.intern(zones[i % 4]), i % 2 == 0, 50, false});
     }
-    Json v = encode_registry(r, names);
-    EXPECT_LE(v.dump().size(), 4096U);
-    auto back = decode_registry(v, names);
-    ASSERT_TRUE(back);
-    auto all = [](const RegistryRecord& held) {
-        std::set<std::string> list;
-        for (const RegisteredMachine& h : held.machines) {
-            list.insert(h.name + (h.spot ? "s" : "o") + (h.permanent ? "p" : "t") +
-                        (h.releasing ? "r" : "h") + std::to_string(h.machine_type) + "/" +
-                        std::to_string(h.zone));
+    Json value = encode_registry(registry, names);
+    EXPECT_LE(value.dump().size(), 4096U);
+    auto decoded = decode_registry(value, names);
+    ASSERT_TRUE(decoded);
+    auto describe_machines = [](const RegistryRecord& described) {
+        std::set<std::string> descriptions;
+        for (const RegisteredMachine& machine : described.machines) {
+            descriptions.insert(machine.name + (machine.spot ? "s" : "o") +
+                                (machine.permanent ? "p" : "t") + (machine.releasing ? "r" : "h") +
+                                std::to_string(machine.machine_type) + "/" +
+                                std::to_string(machine.zone));
         }
-        return list;
+        return descriptions;
     };
-    EXPECT_EQ(all(r), all(*back));
-    EXPECT_EQ(back->machines.size(), 2000U);
+    EXPECT_EQ(describe_machines(registry), describe_machines(*decoded));
+    EXPECT_EQ(decoded->machines.size(), 2000U);
 }
 
-// Steps of every length come back, also beyond what two characters hold; what is no coding of ours
-// is told from one.
-TEST(RegistryTest, NumbersOfEveryDistanceComeBack) {
+// Steps of every encoded length are decoded correctly, including steps that exceed two characters.
+// Invalid encodings are rejected.
+TEST(RegistryTest, DecodesStepsOfEveryLengthAndRejectsInvalidText) {
     Names names;
-    RegistryRecord r;
-    r.first_scale_out_done = true;
+    RegistryRecord registry;
+    registry.first_scale_out_done = true;
     std::uint64_t number = 0;
-    std::set<std::string> had;
+    std::set<std::string> expected;
     for (std::uint64_t step : {0ULL, 1ULL, 1ULL, 1ULL, 55ULL, 56ULL, 57ULL, 58ULL, 1ULL, 2540ULL,
                                2541ULL, 2542ULL, 99999ULL, 1ULL, 123456789012ULL}) {
         number += step;
         std::string name = std::to_string(number);
         name = "m" + std::string(15 - name.size(), '0') + name;
-        had.insert(name);
-        r.machines.push_back(
+        expected.insert(name);
+        registry.machines.push_back(
             {name, names.machine_types.intern("k"), names.zones.intern("z"), false, false, false});
     }
-    for (int i = 0; i < 40; ++i) {  // a run longer than one character holds
+    for (int i = 0; i < 40; ++i) {  // a run that is too long for one character
         std::string name = std::to_string(++number);
         name = "m" + std::string(15 - name.size(), '0') + name;
-        had.insert(name);
-        r.machines.push_back({name, 0, 0, false, false, false});
+        expected.insert(name);
+        registry.machines.push_back({name, 0, 0, false, false, false});
     }
-    Json v = encode_registry(r, names);
-    auto back = decode_registry(v, names);
-    ASSERT_TRUE(back);
-    std::set<std::string> has;
-    for (const RegisteredMachine& h : back->machines) {
-        has.insert(h.name);
+    Json value = encode_registry(registry, names);
+    auto decoded = decode_registry(value, names);
+    ASSERT_TRUE(decoded);
+    std::set<std::string> actual;
+    for (const RegisteredMachine& machine : decoded->machines) {
+        actual.insert(machine.name);
     }
-    EXPECT_EQ(had, has);
-    v["m"][0][5] = "\x01";
-    EXPECT_FALSE(decode_registry(v, names));
-    v["m"][0][5] = "z";  // the first half of a step
-    EXPECT_FALSE(decode_registry(v, names));
+    EXPECT_EQ(expected, actual);
+    value["m"][0][5] = "\x01";
+    EXPECT_FALSE(decode_registry(value, names));
+    value["m"][0][5] = "z";  // the first character of a two-character step
+    EXPECT_FALSE(decode_registry(value, names));
 }
 
-TEST(RegistryTest, ReadsWhatTheFirstVersionWrote) {
+TEST(RegistryTest, DecodesRegistryOfTheFirstVersion) {
     Names names;
-    auto r = decode_registry(Json::parse(R"({"n":7,"f":1,"m":[["host-",6,"small","a",3,[12,40]]],
+    auto registry =
+        decode_registry(Json::parse(R"({"n":7,"f":1,"m":[["host-",6,"small","a",3,[12,40]]],
                                              "h":[["w5-6","small","b",1,4]]})"),
-                             names);
-    ASSERT_TRUE(r);
-    ASSERT_EQ(r->machines.size(), 2U);
-    EXPECT_EQ(r->machines[1].name, "host-000040");
-    EXPECT_TRUE(r->machines[0].permanent && r->machines[0].spot);
-    ASSERT_EQ(r->scale_out_requests.size(), 1U);
-    EXPECT_EQ(names.zones.name(r->scale_out_requests[0].zone), "b");
+                        names);
+    ASSERT_TRUE(registry);
+    ASSERT_EQ(registry->machines.size(), 2U);
+    EXPECT_EQ(registry->machines[1].name, "host-000040");
+    EXPECT_TRUE(registry->machines[0].permanent && registry->machines[0].spot);
+    ASSERT_EQ(registry->scale_out_requests.size(), 1U);
+    EXPECT_EQ(names.zones.name(registry->scale_out_requests[0].zone), "b");
 }
 
 }  // namespace
