--- a/src/coordination/workers/answer_acknowledgement.hpp
+++ b/src/coordination/workers/answer_acknowledgement.hpp
@@ -1,27 +1,28 @@
-// Whether a worker receives the answers to its heartbeats.
+// Whether a worker receives the responses to its heartbeats.
 //
-// A worker has one heartbeat open at a time, so a later one shows what became of the answer before:
-// a fencing token that it should have seen and does not show, an incarnation that ended although we
-// answered, a task that it was commanded to run and does not have. One lost packet is no more than
-// that; several in a row mean that our answers do not arrive (a one-way partition).
+// A worker has one heartbeat open at a time, so each heartbeat shows whether the previous response
+// arrived. It did not if the worker does not report a fencing token that it should have seen, if
+// its incarnation ended although we renewed the lease, or if it lacks a task that it was commanded
+// to run. A single missed response may be a lost packet; several in a row mean a one-way partition,
+// in which heartbeats arrive and responses do not.
 #pragma once
 
 #include "coordination/leader/leader_context.hpp"
 
 namespace walkford {
 
-// Compares a heartbeat with the answers sent before it, and counts a missed or a received answer.
-// To be called before the heartbeat changes what is known of the worker.
+// Compares a heartbeat with the responses sent before it, and counts a missed or a received one.
+// Must be called before the heartbeat is applied to the machine's worker state.
 void check_acknowledgement(const LeaderContext& context, Ms now, Machine& machine,
                            const WorkerStatus& status);
 
-// An answer to the worker was certainly lost.
-void record_missed_answer(Ms now, Machine& machine);
+// Counts a response that the worker certainly did not receive.
+void record_missed_response(Ms now, Machine& machine);
 
-// An answer to the worker has certainly arrived.
-void record_received_answer(Machine& machine);
+// Resets the count, as the worker has certainly received a response.
+void record_received_response(Machine& machine);
 
-// False once so many answers in a row were missed that the machine gets no more work.
-bool receives_answers(const Machine& machine);
+// False once the worker has missed so many responses in a row that its machine gets no more work.
+bool receives_responses(const Machine& machine);
 
 }  // namespace walkford
--- a/src/coordination/workers/command_builder.cpp
+++ b/src/coordination/workers/command_builder.cpp
@@ -6,7 +6,7 @@
 namespace walkford {
 
 namespace {
-constexpr std::size_t kMaxCommandsPerAnswer = 200;  // an answer holds 64 KiB
+constexpr std::size_t kMaxCommandsPerResponse = 200;  // a response holds at most 64 KiB
 }
 
 std::vector<WorkerCommand> CommandBuilder::build(Ms now, Id machine_id,
@@ -27,7 +27,7 @@
         } else if (machine_may_start && task_may_start(ref, task)) {
             add_run(now, ref, status, commands);
         }
-        if (commands.size() >= kMaxCommandsPerAnswer) {
+        if (commands.size() >= kMaxCommandsPerResponse) {
             break;
         }
     }
@@ -43,18 +43,18 @@
             return;
         }
     }
-    // Its job has ended or was cancelled, or the attempt is an older one.
+    // The job of the task has ended or was cancelled, or the reported attempt is an older one.
     WorkerCommandType type =
         reported.state == TaskState::exited ? WorkerCommandType::clear : WorkerCommandType::stop;
     commands.push_back({type, reported.job, reported.task, reported.attempt, 0});
 }
 
-// Only a worker that shows our fencing token: a late copy of a heartbeat from before the election
-// gets no command whose delivery would then be counted on.
+// Requires that the status reports our fencing token. Otherwise it may be a delayed duplicate from
+// before the election: its response reaches no worker, and a `run` in it would count as sent.
 bool CommandBuilder::machine_may_start_tasks(const Machine& machine,
                                              const WorkerStatus& status) const {
     return context_.holds_lease && machine.registration_durable && !machine.releasing &&
-           status.fencing_token == context_.fencing_token && receives_answers(machine);
+           status.fencing_token == context_.fencing_token && receives_responses(machine);
 }
 
 bool CommandBuilder::task_may_start(TaskRef ref, const Task& task) const {
@@ -66,7 +66,7 @@
                              std::vector<WorkerCommand>& commands) {
     Task& task = context_.cluster.task(ref);
     const std::string& job_name = context_.cluster.jobs[ref.job].spec.id;
-    // The worker accepts a task and attempt once, unless it was cleared.
+    // A worker accepts the same attempt of a task only once, unless the attempt was cleared.
     if (task.rerun) {
         commands.push_back({WorkerCommandType::clear, job_name, ref.task, task.attempt, 0});
     }
--- a/src/coordination/workers/command_builder.hpp
+++ b/src/coordination/workers/command_builder.hpp
@@ -1,4 +1,4 @@
-// The commands that the answer to a heartbeat carries.
+// The commands in the response to a heartbeat.
 #pragma once
 
 #include <vector>
@@ -14,13 +14,14 @@
     // The context must outlive this object.
     explicit CommandBuilder(LeaderContext& context) : context_(context) {}
 
-    // The commands for the machine, at most as many as an answer may hold; the rest follows with
-    // the next answer. Tasks that are commanded to run or stop are marked as such: the result must
-    // be sent as the answer to that status.
+    // Returns the commands for the machine, at most as many as one response may hold; the others
+    // follow in later responses. Marks tasks as commanded to run or stop, so the result must be
+    // sent as the response to that status.
     std::vector<WorkerCommand> build(Ms now, Id machine_id, const WorkerStatus& status);
 
   private:
-    // For a task that the worker reports and that is not placed there: stop it, or clear its exit.
+    // Adds a command for a reported task that is not placed on the machine: `clear` if it has
+    // exited, else `stop`.
     void add_cleanup(Id machine_id, const ReportedTask& reported,
                      std::vector<WorkerCommand>& commands) const;
     bool machine_may_start_tasks(const Machine& machine, const WorkerStatus& status) const;
--- a/src/coordination/workers/direct_calls.cpp
+++ b/src/coordination/workers/direct_calls.cpp
@@ -7,15 +7,16 @@
 namespace {
 constexpr Ms kProbeInterval = 2500;
 constexpr Ms kStopResendInterval = 2500;
-// Stops need not wait for the next probe: this long after the last call they may follow.
+// The time between the previous call and one with stop commands, which do not wait for the next
+// probe.
 constexpr Ms kMinCallInterval = 100;
 }  // namespace
 
 DirectCalls::DirectCalls(LeaderContext& context, WorkerStatusHandler& status_handler)
     : context_(context), status_handler_(status_handler) {}
 
-// (A status under an older token may be a late copy: it does not show that the worker has been
-// reached.)
+// A status under an older fencing token does not end the probes: it may be a delayed duplicate,
+// and does not show that the worker can be reached.
 void DirectCalls::probe_unseen_worker(Ms now, Id machine_id) {
     const Machine& machine = context_.cluster.machines[machine_id];
     const WorkerState& worker = machine.worker;
@@ -34,15 +35,16 @@
     std::vector<WorkerCommand> stops;
     for (TaskRef ref : machine.tasks) {
         const Task& task = cluster.task(ref);
-        bool sent_lately = task.stop_sent_at >= 0 && now < task.stop_sent_at + kStopResendInterval;
-        if (task.stopping && task.phase != TaskPhase::assigned && !sent_lately) {
+        bool sent_recently =
+            task.stop_sent_at >= 0 && now < task.stop_sent_at + kStopResendInterval;
+        if (task.stopping && task.phase != TaskPhase::assigned && !sent_recently) {
             stops.push_back({WorkerCommandType::stop, cluster.jobs[ref.job].spec.id, ref.task,
                              task.attempt, task.stop_grace});
         }
     }
-    Ms call_after = machine.worker.probe_at - kProbeInterval + kMinCallInterval;
+    Ms earliest_call = machine.worker.probe_at - kProbeInterval + kMinCallInterval;
     if (stops.empty() || !machine.worker.reported || machine.worker.probe_open ||
-        now < call_after) {
+        now < earliest_call) {
         return;
     }
     for (const WorkerCommand& stop : stops) {
@@ -84,7 +86,7 @@
     }
     if (response.status == WorkerCallStatus::conflict &&
         status.incarnation != machine.worker.incarnation) {
-        machine.worker.probe_at = now;  // once more, with the incarnation that it reports
+        machine.worker.probe_at = now;  // retry at once with the incarnation that it reports
     }
     status_handler_.apply(now, machine_id, status, StatusSource::direct_call);
 }
--- a/src/coordination/workers/direct_calls.hpp
+++ b/src/coordination/workers/direct_calls.hpp
@@ -7,18 +7,18 @@
 
 namespace walkford {
 
-// Calls a worker where waiting for its next heartbeat would take too long: to show it our fencing
-// token, and to stop tasks. The response carries the worker's status. At most one call to a worker
-// is open at a time.
+// Calls a worker directly when waiting for its next heartbeat would take too long: to announce our
+// fencing token, and to stop tasks. The response carries the worker's status. At most one call to
+// each worker is open at a time.
 class DirectCalls {
   public:
     // All must outlive this object.
     DirectCalls(LeaderContext& context, WorkerStatusHandler& status_handler);
 
-    // Calls without commands a worker that may still obey an older leader.
+    // Sends a call without commands to a worker that may still accept commands of an older leader.
     void probe_unseen_worker(Ms now, Id machine_id);
 
-    // Sends the stop commands that no heartbeat has taken along lately.
+    // Sends the stop commands that were not sent within the resend interval.
     void send_stops(Ms now, Id machine_id);
 
   private:
--- a/src/coordination/workers/failure_attribution.cpp
+++ b/src/coordination/workers/failure_attribution.cpp
@@ -9,17 +9,17 @@
 namespace {
 constexpr std::size_t kExoneratedMachinesToAttributeToJob = 2;
 constexpr std::size_t kFailuresToQuarantine = 2;
-// A replica that ran well so recently shows that its job is without a mistake.
+// A replica that ran well within this time shows that its job is not faulty.
 constexpr Ms kServiceKnownGoodFor = 30000;
 
-// The delay of a job that failures are attributed to: doubled with each failure.
+// The delay of a job to which a failure is attributed; doubled with each failure.
 constexpr Ms kJobBackoffUnit = 2000;
 constexpr Ms kMaxJobBackoff = 60000;
 constexpr std::uint32_t kMaxJobBackoffDoublings = 5;
 
-// The delays after a failure that is attributed to the machine.
+// The delays of the machine and of the job after a failure that is attributed to the machine.
 constexpr Ms kMachineBackoff = 3000;
-constexpr Ms kRetryElsewhereDelay = 500;  // times the failures of the job
+constexpr Ms kRetryElsewhereDelay = 500;  // multiplied by the failures of the job
 constexpr std::uint32_t kMaxRetryElsewhereFactor = 4;
 
 constexpr double kCheckpointMarginSeconds = 1;
@@ -76,19 +76,21 @@
     machine.health.failing_jobs.insert(job_id);
     machine.health.last_failure = now;
     machine.health.backoff_until = std::max(machine.health.backoff_until, now + kMachineBackoff);
-    // The other replicas of a service show that it is the machine: retried elsewhere at once.
-    bool at_once = job.spec.service() && known_good(now, job);
-    Ms delay = at_once ? 0
-                       : kRetryElsewhereDelay *
-                             static_cast<Ms>(std::min(job.failures, kMaxRetryElsewhereFactor));
+    // If other replicas of a service run well, the machine is at fault: the replica is retried
+    // elsewhere without a delay.
+    bool retry_at_once = job.spec.service() && known_good(now, job);
+    Ms delay = retry_at_once
+                   ? 0
+                   : kRetryElsewhereDelay *
+                         static_cast<Ms>(std::min(job.failures, kMaxRetryElsewhereFactor));
     job.not_before = std::max(job.not_before, now + delay);
 }
 
 void FailureAttribution::quarantine(Ms now, Machine& machine, TaskRef failed) {
     machine.health.quarantined = true;
-    spdlog::info("machine {} fails tasks of {} jobs: quarantined", machine.name,
+    spdlog::info("machine {} quarantined: tasks of {} jobs failed on it", machine.name,
                  machine.health.failures());
-    // A copy: stopping a task may take it, or others, off the machine.
+    // Iterates over a copy, as stopping a task may remove it, or others, from the machine.
     std::vector<TaskRef> tasks(machine.tasks.begin(), machine.tasks.end());
     for (TaskRef ref : tasks) {
         if (ref != failed) {
--- a/src/coordination/workers/heartbeat_responder.cpp
+++ b/src/coordination/workers/heartbeat_responder.cpp
@@ -10,10 +10,11 @@
 constexpr int kHttpOk = 200;
 constexpr int kHttpServiceUnavailable = 503;
 constexpr Ms kDeferredCheckInterval = 20;
-// Each deferred heartbeat occupies a socket; most of them are for those answered at once.
+// A deferred heartbeat occupies a socket until it is answered. Deferred heartbeats may use one
+// socket in this many; the others remain for requests that are answered at once.
 constexpr std::size_t kSocketsPerDeferredHeartbeat = 4;
 
-// Placed by this leader, and not yet commanded to run.
+// Whether the task was placed by this leader and has not been commanded to run yet.
 bool newly_placed(const Task& task) { return task.phase == TaskPhase::assigned && !task.inherited; }
 }  // namespace
 
@@ -46,13 +47,13 @@
                                           const HeartbeatRequest& heartbeat) {
     const WorkerStatus& status = heartbeat.worker_status;
     if (auto earlier = deferred_.find(machine_id); earlier != deferred_.end()) {
-        // Its worker no longer waits for it, or one of the two was a copy.
+        // The worker no longer waits for the earlier heartbeat, or one of the two is a duplicate.
         renew_lease(now, context_.cluster.machines[machine_id], earlier->second.request);
         deferred_.erase(earlier);
     }
     DeferReason reason = defer_reason(machine_id, status);
     if (Ms delay = max_delay(reason); delay > 0) {
-        deferred_[machine_id] = {heartbeat.request, status, now + delay, reason, rounds_};
+        deferred_[machine_id] = {heartbeat.request, status, now + delay, reason, placement_rounds_};
         return;
     }
     respond(now, machine_id, heartbeat.request, status);
@@ -70,12 +71,12 @@
     response.code = kHttpOk;
     response.fencing_token = context_.fencing_token;
     response.commands = command_builder_.build(now, machine_id, status);
-    Acknowledgement& answers = machine.acknowledgement;
-    if (answers.answered_sequence == 0) {
-        answers.token_announced_sequence = status.sequence;
+    Acknowledgement& acknowledgement = machine.acknowledgement;
+    if (acknowledgement.answered_sequence == 0) {
+        acknowledgement.token_announced_sequence = status.sequence;
     }
-    answers.answered_incarnation = status.incarnation;
-    answers.answered_sequence = status.sequence;
+    acknowledgement.answered_incarnation = status.incarnation;
+    acknowledgement.answered_sequence = status.sequence;
     machine.worker.lease_renewed_at = now;
     context_.controller.out.emplace_back(std::move(response));
 }
@@ -97,12 +98,13 @@
     if (!may_defer(machine, status)) {
         return DeferReason::none;
     }
-    // A worker without tasks waits for work; one with tasks could not report on them meanwhile.
+    // Only a worker without tasks may wait for work: one with tasks could not report on them while
+    // its heartbeat is open.
     if (status.tasks.empty() && machine.tasks.empty()) {
         return DeferReason::idle;
     }
     bool placement_expected =
-        has_undurable_exit(machine_id, status) || has_undurable_placement(machine);
+        has_non_durable_exit(machine_id, status) || has_non_durable_placement(machine);
     return placement_expected ? DeferReason::placement : DeferReason::none;
 }
 
@@ -119,8 +121,9 @@
     return 0;
 }
 
-// Resources have just become free, and their next use waits for the store.
-bool HeartbeatResponder::has_undurable_exit(Id machine_id, const WorkerStatus& status) const {
+// Whether the worker reports an exit that is not yet durable. The resources of that task have just
+// become free, and their next use waits for the store.
+bool HeartbeatResponder::has_non_durable_exit(Id machine_id, const WorkerStatus& status) const {
     ClusterState& cluster = context_.cluster;
     return std::any_of(status.tasks.begin(), status.tasks.end(), [&](const ReportedTask& reported) {
         if (reported.state != TaskState::exited) {
@@ -136,7 +139,7 @@
     });
 }
 
-bool HeartbeatResponder::has_undurable_placement(const Machine& machine) const {
+bool HeartbeatResponder::has_non_durable_placement(const Machine& machine) const {
     return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](TaskRef ref) {
         const Task& task = context_.cluster.task(ref);
         return newly_placed(task) && !task.durable_here();
@@ -162,18 +165,19 @@
     if (deferred.reason == DeferReason::idle) {
         return has_placement;
     }
-    return rounds_ > deferred.rounds && !has_undurable_exit(machine_id, deferred.worker_status);
+    return placement_rounds_ > deferred.placement_rounds &&
+           !has_non_durable_exit(machine_id, deferred.worker_status);
 }
 
-void HeartbeatResponder::respond_deferred(Ms now, std::uint64_t rounds) {
-    rounds_ = rounds;
-    if (now < deferred_check_at_) {
+void HeartbeatResponder::respond_deferred(Ms now, std::uint64_t placement_rounds) {
+    placement_rounds_ = placement_rounds;
+    if (now < next_deferred_check_at_) {
         return;
     }
-    deferred_check_at_ = now + kDeferredCheckInterval;
+    next_deferred_check_at_ = now + kDeferredCheckInterval;
     for (auto entry = deferred_.begin(); entry != deferred_.end();) {
         const auto& [machine_id, deferred] = *entry;
-        if (now >= deferred.until || now >= context_.heartbeat_answer_deadline ||
+        if (now >= deferred.deadline || now >= context_.heartbeat_answer_deadline ||
             !context_.holds_lease || commands_ready(machine_id, deferred)) {
             respond(now, machine_id, deferred.request, deferred.worker_status);
             entry = deferred_.erase(entry);
--- a/src/coordination/workers/heartbeat_responder.hpp
+++ b/src/coordination/workers/heartbeat_responder.hpp
@@ -1,4 +1,4 @@
-// The answers to heartbeats, at once or deferred until there is something to command.
+// Responds to heartbeats, at once or deferred until there are commands to send.
 #pragma once
 
 #include <map>
@@ -7,14 +7,14 @@
 
 namespace walkford {
 
-// `run` commands travel only in answers to heartbeats, and the next heartbeat comes a report
-// interval later: where a placement is expected soon, the answer waits for it for a short time.
-// Every answer with 200 renews the worker's lease.
+// `run` commands are sent only in responses to heartbeats, and the next heartbeat comes a report
+// interval later. When a placement is expected soon, the response waits for it for a short time.
+// Every response with 200 renews the worker's lease.
 class HeartbeatResponder {
   public:
     // The context must outlive this object.
     explicit HeartbeatResponder(LeaderContext& context);
-    // Answers the deferred heartbeats with 503: the workers turn to the next leader.
+    // Answers the deferred heartbeats with 503, so that the workers turn to the next leader.
     ~HeartbeatResponder();
     HeartbeatResponder(const HeartbeatResponder&) = delete;
     HeartbeatResponder& operator=(const HeartbeatResponder&) = delete;
@@ -30,40 +30,40 @@
     void respond_or_defer(Ms now, Id machine_id, const HeartbeatRequest& heartbeat);
 
     // Answers the deferred heartbeats that have waited long enough or whose commands are ready.
-    // `rounds`: how many placement rounds are complete.
-    void respond_deferred(Ms now, std::uint64_t rounds);
+    // `placement_rounds`: how many placement rounds are complete.
+    void respond_deferred(Ms now, std::uint64_t placement_rounds);
 
-    // A heartbeat of the machine's worker is open here.
+    // Whether a heartbeat of the machine's worker is waiting for its response.
     bool has_deferred(Id machine_id) const { return deferred_.count(machine_id) != 0; }
 
   private:
-    // What the answer to a heartbeat waits for.
+    // Why the response to a heartbeat is deferred.
     enum class DeferReason : std::uint8_t {
-        none,       // it is answered at once
-        idle,       // work, on a machine that has none
-        placement,  // the next placement, as a task has exited or was placed just now
+        none,       // it is sent at once
+        idle,       // the machine has no tasks and waits for work
+        placement,  // a task has just exited or been placed, and commands are expected soon
     };
     struct DeferredHeartbeat {
         RequestId request = 0;
         WorkerStatus worker_status;
-        Ms until = 0;
+        Ms deadline = 0;
         DeferReason reason = DeferReason::none;
-        std::uint64_t rounds = 0;  // complete when it was deferred
+        std::uint64_t placement_rounds = 0;  // complete when the heartbeat was deferred
     };
 
     DeferReason defer_reason(Id machine_id, const WorkerStatus& status) const;
     bool may_defer(const Machine& machine, const WorkerStatus& status) const;
     Ms max_delay(DeferReason reason) const;
-    bool has_undurable_exit(Id machine_id, const WorkerStatus& status) const;
-    bool has_undurable_placement(const Machine& machine) const;
+    bool has_non_durable_exit(Id machine_id, const WorkerStatus& status) const;
+    bool has_non_durable_placement(const Machine& machine) const;
     bool commands_ready(Id machine_id, const DeferredHeartbeat& deferred) const;
     void respond(Ms now, Id machine_id, RequestId request, const WorkerStatus& status);
 
     LeaderContext& context_;
     CommandBuilder command_builder_;
     std::map<Id, DeferredHeartbeat> deferred_;  // by machine
-    std::uint64_t rounds_ = 0;
-    Ms deferred_check_at_ = 0;
+    std::uint64_t placement_rounds_ = 0;
+    Ms next_deferred_check_at_ = 0;
 };
 
 }  // namespace walkford
--- a/src/coordination/workers/lease_expiry.cpp
+++ b/src/coordination/workers/lease_expiry.cpp
@@ -8,7 +8,8 @@
 constexpr Ms kLeaseMargin = 1200;
 }
 
-// A record that has come and gone counts as well: its controller may have answered up to its end.
+// Counts changes, so that a record that was created and deleted between two calls is noticed too:
+// its controller may have renewed leases until the record was deleted.
 void LeaseExpiry::watch_relays(Ms now) {
     const ControllerContext& controller = context_.controller;
     relays_.resize(controller.names.zones.size(), RelayWatch{0, context_.elected_at});
@@ -20,9 +21,9 @@
     }
 }
 
-// That nobody renewed the lease, a linearizable read shows that was begun once the lease was over:
-// a controller that relays says so in the store before its first answer, and by then there was
-// nothing left to renew.
+// A controller writes its relay record to the store before its first response. A linearizable read
+// that was begun after the end of the lease and finds no new record therefore proves that no other
+// controller renewed the lease: one that begins to relay later finds it expired.
 bool LeaseExpiry::expired(Ms now, const Machine& machine) const {
     if (machine.zone >= relays_.size() || context_.relayed(machine)) {
         return false;
--- a/src/coordination/workers/lease_expiry.hpp
+++ b/src/coordination/workers/lease_expiry.hpp
@@ -1,4 +1,4 @@
-// When the lease of a worker is certainly over.
+// Determines when the lease of a worker has certainly expired.
 #pragma once
 
 #include <vector>
@@ -7,23 +7,25 @@
 
 namespace walkford {
 
-// A worker whose lease is over has killed all its tasks. Its lease is renewed by this leader's
-// answers and, while one of them relays for the worker's zone, by those of another controller; this
-// class watches the relay records that announce it.
+// A worker whose lease has expired has killed all its tasks. Its lease is renewed by the responses
+// of this leader, and also by those of another controller while that one relays for the worker's
+// zone. A controller announces this in a relay record, and this class watches those records.
 class LeaseExpiry {
   public:
     // The context must outlive this object.
     explicit LeaseExpiry(LeaderContext& context) : context_(context) {}
 
-    // Notes which relay records have changed since the last call. To be called before expired().
+    // Records which relay records have changed since the last call. Must be called before
+    // expired().
     void watch_relays(Ms now);
 
-    // Nobody has renewed the machine's lease for longer than it lasts, and no older leader may be
-    // obeyed there. The caller excludes workers that wait for an answer: those are alive.
+    // Whether no controller has renewed the machine's lease for longer than the lease duration. The
+    // caller excludes workers that may still accept commands of an older leader, and those that
+    // wait for a response, as they are alive.
     bool expired(Ms now, const Machine& machine) const;
 
   private:
-    // When a controller was last seen to begin or end relaying for a zone.
+    // When this leader last saw a controller begin or end relaying for a zone.
     struct RelayWatch {
         std::uint64_t changes = 0;
         Ms changed_at = -1;
--- a/src/coordination/workers/reported_task.hpp
+++ b/src/coordination/workers/reported_task.hpp
@@ -1,4 +1,4 @@
-// What a task in a worker's status means in the cluster state.
+// Relates the tasks in a worker's status to the cluster state.
 #pragma once
 
 #include <optional>
@@ -16,20 +16,22 @@
 inline constexpr std::string_view kNoRoom = "no_room";  // its resources were not free
 inline constexpr std::string_view kBusy = "busy";       // an earlier attempt of it still runs there
 inline constexpr std::string_view kUnknown = "unknown";  // the worker did not know the job
-// Gang members: the others did not arrive in time, or some were lost after the gang had begun.
+// Gang members: the other members were not ready in time, or some were lost after the gang had
+// begun.
 inline constexpr std::string_view kGangIncomplete = "alone";
 inline constexpr std::string_view kGangMemberLost = "mates_gone";
 }  // namespace exit_cause
 
-// The task of the cluster state that a worker reports; empty if its job has ended or never existed.
+// Finds the task of the cluster state that a worker reports; empty if its job has ended or never
+// existed.
 std::optional<TaskRef> find_reported_task(const ClusterState& cluster,
                                           const ReportedTask& reported);
 
-// The task is placed on that machine, with the attempt that the worker reports.
+// Whether the task is placed on that machine with the attempt that the worker reports.
 bool is_current_attempt(const Task& task, Id machine_id, const ReportedTask& reported);
 
-// The store still holds the reported attempt as placed on that machine and not done: the worker may
-// not forget it before its end is durable.
+// Whether the store still records the reported attempt as placed on that machine and not done. The
+// worker must not clear the task before its end is durable.
 bool is_durable_attempt(const Task& task, Id machine_id, const ReportedTask& reported);
 
 }  // namespace walkford
--- a/src/coordination/workers/service_restarts.cpp
+++ b/src/coordination/workers/service_restarts.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 constexpr Ms kRanWellAfter = 10000;
-constexpr Ms kFirstRestartDelay = 1000;  // of the second exit in a row; doubled with each
+constexpr Ms kFirstRestartDelay = 1000;  // after the second early exit in a row; then doubled
 constexpr std::uint32_t kMaxDoublings = 5;
 }  // namespace
 
@@ -28,7 +28,7 @@
         Ms delay = kFirstRestartDelay << std::min(job.failures - 2, kMaxDoublings);
         job.not_before = std::max(job.not_before, now + delay);
     }
-    spdlog::info("{}/{}: service replica exited on {}", job.spec.id, ref.task,
+    spdlog::info("service replica {}/{} exited on machine {}", job.spec.id, ref.task,
                  cluster.machines[task.machine].name);
     lifecycle_.task_lost(ref, now, reported.cause.c_str());
 }
--- a/src/coordination/workers/task_exits.cpp
+++ b/src/coordination/workers/task_exits.cpp
@@ -33,8 +33,8 @@
         }
         return;
     }
-    spdlog::debug("{}/{} attempt {} exited on {}: {}{}", job.spec.id, ref.task, reported.attempt,
-                  cluster.machines[task.machine].name, reported.cause,
+    spdlog::debug("task {}/{} attempt {} exited on machine {}, cause: {}{}", job.spec.id, ref.task,
+                  reported.attempt, cluster.machines[task.machine].name, reported.cause,
                   reported.progress_saved ? ", checkpointed" : "");
     if (waits_for_gang(ref, reported)) {
         rerun_in_place(now, task);
@@ -54,7 +54,7 @@
         cluster.mark_done(ref);
         return;
     }
-    // A gang completes together: one task that is done shows that all are.
+    // The tasks of a gang complete together: if one is done, all are.
     for (std::uint32_t index = 0; index < job.spec.tasks; ++index) {
         if (cluster.task({ref.job, index}).attempt == reported.attempt) {
             cluster.mark_done({ref.job, index});
@@ -67,8 +67,8 @@
            !context_.cluster.jobs[ref.job].cancelled && lifecycle_.unbegun(ref.job);
 }
 
-// The other gang members still fetch their image (a large one takes longer than a gang waits): the
-// task waits for them once more, with its own image in place.
+// The other gang members are still fetching their image, which takes longer than a gang waits if
+// the image is large. The task keeps its machine, which has the image already, and waits again.
 void TaskExits::rerun_in_place(Ms now, Task& task) {
     task.rerun = true;
     task.phase = TaskPhase::assigned;
@@ -84,11 +84,11 @@
     Machine& machine = cluster.machines[task.machine];
     bool failure_not_counted = task.failure_not_counted || task.stopping || job.cancelled;
     if (reported.cause == exit_cause::kError && !failure_not_counted) {
-        spdlog::info("{}/{} failed on {}", job.spec.id, ref.task, machine.name);
+        spdlog::info("task {}/{} failed on machine {}", job.spec.id, ref.task, machine.name);
         failure_attribution_.task_failed(now, ref, task.machine);
     } else if (reported.cause == exit_cause::kNoRoom) {
-        // The cluster state and the machine differ: it is to report what it has before it gets
-        // more.
+        // The cluster state and the machine disagree about free resources: the machine must report
+        // its tasks before it gets more.
         machine.health.backoff_until =
             std::max(machine.health.backoff_until, now + kNoRoomMachineBackoff);
     } else if (reported.cause == exit_cause::kBusy) {
--- a/src/coordination/workers/task_exits.hpp
+++ b/src/coordination/workers/task_exits.hpp
@@ -1,4 +1,4 @@
-// What follows from a task that its worker reports as exited.
+// Handles tasks that their workers report as exited.
 #pragma once
 
 #include "coordination/leader/task_lifecycle.hpp"
@@ -7,18 +7,18 @@
 
 namespace walkford {
 
-// Marks tasks done, queues them again, and delays jobs and machines by the cause of the exit.
+// Marks tasks done or queues them again, and delays jobs and machines depending on the exit cause.
 class TaskExits {
   public:
     // Both must outlive this object.
     TaskExits(LeaderContext& context, TaskLifecycle& lifecycle);
 
-    // The current attempt of the task has exited on its machine.
+    // Handles the exit of the current attempt of a task on its machine.
     void task_exited(Ms now, TaskRef ref, const ReportedTask& reported);
 
   private:
     void task_completed(TaskRef ref, const ReportedTask& reported);
-    // Whether the exit means that its gang has not assembled yet, and not that it has ended.
+    // Whether the task exited only because its gang is not complete yet, and may wait again.
     bool waits_for_gang(TaskRef ref, const ReportedTask& reported) const;
     static void rerun_in_place(Ms now, Task& task);
     void back_off(Ms now, TaskRef ref, const ReportedTask& reported);
--- a/src/coordination/workers/worker_manager.cpp
+++ b/src/coordination/workers/worker_manager.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr Ms kCheckInterval = 200;
 constexpr double kRecentReportIntervals = 2;
-constexpr Ms kReportDelay = 1500;  // that a heartbeat or an answer may take on its way
+constexpr Ms kReportDelay = 1500;  // allowed for the delivery of a heartbeat or a response
 constexpr double kCheckpointMarginSeconds = 0.5;
 }  // namespace
 
@@ -31,15 +31,15 @@
     return machine.registered && !machine.releasing && !machine.terminated &&
            !machine.health.quarantined && !machine.worker.lease_expired &&
            reported_recently(machine, now) && machine.worker.reclaim_at < 0 &&
-           machine.health.backoff_until <= now && receives_answers(machine) &&
+           machine.health.backoff_until <= now && receives_responses(machine) &&
            (machine.worker.fencing_token_seen || machine.requested_by_this_leader);
 }
 
 void WorkerManager::heartbeat(Ms now, const HeartbeatRequest& heartbeat) {
     const WorkerStatus& status = heartbeat.worker_status;
     if (now >= context_.heartbeat_answer_deadline) {
-        // No recent proof that nothing was cancelled meanwhile: the lease of the tasks is to
-        // expire.
+        // Nothing proves that no job was cancelled in the meantime, so the worker's lease must be
+        // allowed to expire.
         responder_.refuse(heartbeat.request);
         return;
     }
@@ -50,8 +50,8 @@
     }
     if (status_handler_.apply(now, machine_id, status, StatusSource::heartbeat) ==
         StatusResult::stale) {
-        // A copy that came late is answered too: the worker may receive the answer, and then counts
-        // its lease from it.
+        // A delayed duplicate is answered too. The worker may receive this response and count its
+        // lease from it, so the renewal is recorded.
         responder_.renew_lease(now, machine, heartbeat.request);
         return;
     }
@@ -66,16 +66,18 @@
         machine_id = cluster.add_machine(status.machine,
                                          cluster.names.machine_types.intern(status.machine_type),
                                          cluster.names.zones.intern(status.zone), status.spot, now);
-        spdlog::debug("machine {} reports and is not in the registry", status.machine);
+        spdlog::debug(
+            "machine {} sent a heartbeat and is not in the registry: added as unregistered",
+            status.machine);
     }
     return machine_id;
 }
 
 void WorkerManager::tick(Ms now) {
-    if (now < check_at_) {
+    if (now < next_check_at_) {
         return;
     }
-    check_at_ = now + kCheckInterval;
+    next_check_at_ = now + kCheckInterval;
     lease_expiry_.watch_relays(now);
     std::deque<Machine>& machines = context_.cluster.machines;
     for (Id machine_id = 0; machine_id < machines.size(); ++machine_id) {
@@ -93,7 +95,7 @@
 void WorkerManager::expire_lease(Ms now, Id machine_id) {
     Machine& machine = context_.cluster.machines[machine_id];
     WorkerState& worker = machine.worker;
-    // A worker whose heartbeat is open here is alive.
+    // A worker that waits for the response to a deferred heartbeat is alive.
     if (!worker.fencing_token_seen || worker.lease_expired || responder_.has_deferred(machine_id) ||
         !lease_expiry_.expired(now, machine)) {
         return;
@@ -107,21 +109,21 @@
     lifecycle_.machine_emptied(machine_id, now, "lease expired");
 }
 
-// The cloud takes the machine soon: its tasks are stopped as late as is safe, so that they save a
+// Stops the tasks of a machine that the cloud is about to reclaim, as late as they can still save a
 // checkpoint. A stop command may take a report interval to reach the worker.
 void WorkerManager::stop_before_reclaim(Ms now, const Machine& machine) {
     if (machine.worker.reclaim_at < 0) {
         return;
     }
     ClusterState& cluster = context_.cluster;
-    Ms delivery = to_ms(context_.controller.platform_settings.report_s) + kReportDelay;
-    // A copy: stopping a task may take it, or its whole gang, off the machine.
+    Ms delivery_delay = to_ms(context_.controller.platform_settings.report_s) + kReportDelay;
+    // Iterates over a copy, as stopping a task may remove it, or its whole gang, from the machine.
     for (TaskRef ref : std::vector<TaskRef>(machine.tasks.begin(), machine.tasks.end())) {
         const JobSpec& spec = cluster.jobs[ref.job].spec;
         if (cluster.task(ref).stopping) {
             continue;
         }
-        Ms needed = to_ms(spec.checkpoint_duration_s) + delivery;
+        Ms needed = to_ms(spec.checkpoint_duration_s) + delivery_delay;
         if (now + needed >= machine.worker.reclaim_at) {
             lifecycle_.stop(ref, spec.checkpoint_duration_s + kCheckpointMarginSeconds, now, true);
         }
--- a/src/coordination/workers/worker_manager.hpp
+++ b/src/coordination/workers/worker_manager.hpp
@@ -1,4 +1,5 @@
-// The leader's dialogue with the workers: statuses in, commands out, and the leases of machines.
+// How the leader communicates with the workers: it applies their statuses, sends commands, and
+// renews and expires their leases.
 #pragma once
 
 #include "coordination/leader/task_lifecycle.hpp"
@@ -9,33 +10,34 @@
 
 namespace walkford {
 
-// Composes the parts of that dialogue, and says of a machine whether it may be given work. Owned by
-// the Leader; destroying it answers the open heartbeats with 503.
+// Combines the classes of this directory, and decides whether a machine may be given work. Owned by
+// the Leader; its destructor answers the deferred heartbeats with 503.
 class WorkerManager {
   public:
     // Both must outlive this object.
     WorkerManager(LeaderContext& context, TaskLifecycle& lifecycle);
 
-    // Applies the status in a heartbeat and answers it, now or in respond_deferred(). Refused with
-    // 503 while this leader may not renew leases. A machine that is not in the registry is added to
-    // the cluster state, unregistered.
+    // Applies the status in a heartbeat and answers it, now or in respond_deferred(). Refuses
+    // it with 503 while this leader may not renew leases. Adds an unknown machine to the cluster
+    // state as unregistered.
     void heartbeat(Ms now, const HeartbeatRequest& heartbeat);
 
-    // Expires leases, probes and stops by direct calls, and saves tasks from machines that the
-    // cloud reclaims. Called at every tick of the leader; acts at intervals of its own.
+    // Expires leases, sends probes and stop commands by direct calls, and stops tasks on machines
+    // that the cloud is about to reclaim. Called at every tick of the leader; acts at its own
+    // interval.
     void tick(Ms now);
 
     // Answers the deferred heartbeats whose commands are ready, or that have waited long enough.
-    // `rounds`: how many placement rounds are complete.
-    void respond_deferred(Ms now, std::uint64_t rounds) {
-        responder_.respond_deferred(now, rounds);
+    // `placement_rounds`: how many placement rounds are complete.
+    void respond_deferred(Ms now, std::uint64_t placement_rounds) {
+        responder_.respond_deferred(now, placement_rounds);
     }
 
-    // The worker has sent a heartbeat within about two report intervals.
+    // Whether the worker has sent a heartbeat within about two report intervals.
     bool reported_recently(const Machine& machine, Ms now) const;
 
-    // The machine may be given work: it is registered and healthy, and its worker sends heartbeats,
-    // receives our answers and obeys no older leader.
+    // Whether the machine may be given work: it is registered and healthy, and its worker sends
+    // heartbeats, receives our responses and accepts commands of no older leader.
     bool schedulable(const Machine& machine, Ms now) const;
 
   private:
@@ -49,7 +51,7 @@
     HeartbeatResponder responder_;
     DirectCalls direct_calls_;
     LeaseExpiry lease_expiry_;
-    Ms check_at_ = 0;
+    Ms next_check_at_ = 0;
 };
 
 }  // namespace walkford
--- a/src/coordination/workers/worker_status_handler.cpp
+++ b/src/coordination/workers/worker_status_handler.cpp
@@ -34,7 +34,8 @@
     update_worker_state(update, machine);
     update_reclaim_notice(update, machine);
     std::set<TaskRef> reported = apply_reported_tasks(update);
-    // Where an older leader may still be obeyed, absence proves nothing.
+    // While the worker may still accept commands of an older leader, a task that it does not report
+    // is not proven gone.
     if (update.under_our_token) {
         reconcile_unreported_tasks(update, reported);
     }
@@ -45,14 +46,14 @@
     const WorkerState& worker = machine.worker;
     bool seen_before = worker.reported && std::tie(status.incarnation, status.sequence) <=
                                               std::tie(worker.incarnation, worker.sequence);
-    // From before its lease expired: so has all that it reports.
+    // An incarnation from before the lease expired has killed all tasks that it reports.
     return seen_before || status.incarnation < worker.min_incarnation;
 }
 
 void WorkerStatusHandler::update_worker_state(const StatusUpdate& update, Machine& machine) {
     WorkerState& worker = machine.worker;
     if (!worker.reported) {
-        spdlog::debug("machine {} reports for the first time", machine.name);
+        spdlog::debug("machine {} sent its first status to this leader", machine.name);
         context_.place_now = true;
     }
     worker.incarnation = update.status.incarnation;
@@ -61,7 +62,7 @@
     if (worker.lease_expired) {
         worker.lease_expired = false;
         context_.place_now = true;
-        spdlog::info("machine {} reports again after its lease expired", machine.name);
+        spdlog::info("machine {} sent a status again after its lease had expired", machine.name);
     }
     if (update.under_our_token && !worker.fencing_token_seen) {
         worker.fencing_token_seen = true;
@@ -75,14 +76,15 @@
 void WorkerStatusHandler::update_reclaim_notice(const StatusUpdate& update, Machine& machine) {
     Ms& reclaim_at = machine.worker.reclaim_at;
     if (!update.status.notice_s) {
-        // The newest status counts: the notice in an old copy, the first to reach a new leader, is
-        // revoked here.
+        // The newest status counts. A new leader may have received a delayed duplicate with an
+        // outdated notice first, which is revoked here.
         reclaim_at = -1;
         return;
     }
     Ms announced = update.now + to_ms(*update.status.notice_s);
     if (reclaim_at < 0) {
-        spdlog::info("machine {} is reclaimed in {:.1f} s", machine.name, *update.status.notice_s);
+        spdlog::info("machine {} will be reclaimed by the cloud in {:.1f} s", machine.name,
+                     *update.status.notice_s);
     }
     reclaim_at = reclaim_at < 0 ? announced : std::min(reclaim_at, announced);
 }
@@ -104,18 +106,19 @@
                                               const ReportedTask& reported) {
     Task& task = context_.cluster.task(ref);
     if (task.phase == TaskPhase::dispatched && update.under_our_token && !task.rerun) {
-        record_received_answer(context_.cluster.machines[update.machine_id]);
+        record_received_response(context_.cluster.machines[update.machine_id]);
     }
     bool exited = reported.state == TaskState::exited;
-    bool missed_gang = exited && reported.cause == exit_cause::kGangIncomplete;
-    // An earlier leader may have run this attempt again since: only a status under our token shows
-    // that it has not, and until then the task is where that leader placed it.
-    if (missed_gang && !update.under_our_token) {
+    bool gang_was_incomplete = exited && reported.cause == exit_cause::kGangIncomplete;
+    // An earlier leader may have commanded the worker to run this attempt again since. Only a
+    // status under our token shows that it has not; until then the task counts as placed on the
+    // machine.
+    if (gang_was_incomplete && !update.under_our_token) {
         return;
     }
     task.inherited = false;
-    if (missed_gang && task.rerun) {
-        return;  // the exit from before it was commanded to run again, not cleared yet
+    if (gang_was_incomplete && task.rerun) {
+        return;  // the earlier exit: the worker has not yet received the commands to run it again
     }
     if (exited) {
         task_exits_.task_exited(update.now, ref, reported);
@@ -144,10 +147,11 @@
                                                      const std::set<TaskRef>& reported) {
     ClusterState& cluster = context_.cluster;
     const Machine& machine = cluster.machines[update.machine_id];
-    // One lost answer is counted once, however many commands it held.
-    bool missed_answer_recorded =
+    // A lost response is counted once, however many commands it held.
+    bool missed_response_recorded =
         update.source != StatusSource::heartbeat || update.new_incarnation;
-    // A copy: what is reconciled may take a task, or its whole gang, off the machine.
+    // Iterates over a copy, as a task that is reconciled, or its whole gang, may be removed from
+    // the machine.
     std::vector<TaskRef> tasks(machine.tasks.begin(), machine.tasks.end());
     for (TaskRef ref : tasks) {
         if (reported.count(ref) || !cluster.jobs[ref.job].alive) {
@@ -159,10 +163,10 @@
         }
         switch (task.phase) {
             case TaskPhase::acknowledged:
-                lifecycle_.task_lost(ref, update.now, "no longer on its machine");
+                lifecycle_.task_lost(ref, update.now, "no longer reported by its worker");
                 break;
             case TaskPhase::dispatched:
-                reconcile_dispatched_task(update, ref, missed_answer_recorded);
+                reconcile_dispatched_task(update, ref, missed_response_recorded);
                 break;
             case TaskPhase::assigned:
                 reconcile_assigned_task(update, ref);
@@ -173,8 +177,9 @@
     }
 }
 
-// Only a later heartbeat shows whether the answer with `run` was received: the response to a direct
-// call has a higher sequence too, and proves nothing about it.
+// Whether the `run` command was lost: the worker has restarted since, or a later heartbeat still
+// lacks the task. The response to a direct call has a higher sequence too, but does not show
+// whether the heartbeat response with `run` was received.
 bool WorkerStatusHandler::run_command_dropped(const StatusUpdate& update, const Task& task) {
     bool later_heartbeat =
         update.source == StatusSource::heartbeat && update.status.sequence > task.dispatch_sequence;
@@ -183,31 +188,32 @@
 }
 
 void WorkerStatusHandler::reconcile_dispatched_task(const StatusUpdate& update, TaskRef ref,
-                                                    bool& missed_answer_recorded) {
+                                                    bool& missed_response_recorded) {
     Task& task = context_.cluster.task(ref);
     if (!run_command_dropped(update, task)) {
         return;
     }
-    if (!missed_answer_recorded) {
-        missed_answer_recorded = true;
-        record_missed_answer(update.now, context_.cluster.machines[update.machine_id]);
+    if (!missed_response_recorded) {
+        missed_response_recorded = true;
+        record_missed_response(update.now, context_.cluster.machines[update.machine_id]);
     }
     if (task.stopping) {
         lifecycle_.task_lost(ref, update.now, "stopped before it started");
     } else {
-        task.phase = TaskPhase::assigned;  // commanded to run once more
+        task.phase = TaskPhase::assigned;  // so that `run` is sent again
     }
 }
 
-// A task that an earlier leader placed, and that a heartbeat under our token does not mention: it
-// was never started, or is gone with an older incarnation.
+// Handles a task that an earlier leader placed and that a heartbeat under our token does not
+// report: it was never started, or ended with an older incarnation of the worker.
 void WorkerStatusHandler::reconcile_assigned_task(const StatusUpdate& update, TaskRef ref) {
     Task& task = context_.cluster.task(ref);
     if (!task.inherited || update.source != StatusSource::heartbeat) {
         return;
     }
     if (task.stopping || context_.cluster.jobs[ref.job].spec.starts_together()) {
-        lifecycle_.task_lost(ref, update.now, "not found after a change of leader");
+        lifecycle_.task_lost(ref, update.now,
+                             "not reported by its worker after a change of leader");
     } else {
         task.inherited = false;
     }
--- a/src/coordination/workers/worker_status_handler.hpp
+++ b/src/coordination/workers/worker_status_handler.hpp
@@ -1,4 +1,4 @@
-// What a worker's status changes in the cluster state.
+// Applies the statuses of workers to the cluster state.
 #pragma once
 
 #include <set>
@@ -11,17 +11,19 @@
 // How a status reached the leader.
 enum class StatusSource : std::uint8_t {
     heartbeat,
-    direct_call,  // in the response to commands that were sent outside of heartbeats
+    direct_call,  // in the response to a direct call (DirectCalls)
 };
 
-// What became of a status.
+// Whether a status was applied.
 enum class StatusResult : std::uint8_t {
     applied,
-    stale,  // a copy of an earlier status, or older than one: it changes nothing
+    // It changed nothing: it is a duplicate, is older than one already applied, or is from before
+    // the lease expired.
+    stale,
 };
 
-// Applies the statuses of workers: the state of the worker itself, what it reports of its tasks,
-// and what it does not mention although the cluster state places it there.
+// Updates the state of the worker itself and of the tasks that it reports, and reconciles the tasks
+// that the cluster state places on its machine and that it does not report.
 class WorkerStatusHandler {
   public:
     // Both must outlive this object.
@@ -31,27 +33,28 @@
     StatusResult apply(Ms now, Id machine_id, const WorkerStatus& status, StatusSource source);
 
   private:
-    // A status that is being applied, and what its steps need to know of it.
+    // The status that is being applied, and what is derived from it.
     struct StatusUpdate {
         Ms now;
         Id machine_id;
         const WorkerStatus& status;
         StatusSource source;
         bool new_incarnation;  // the first status of a worker that was restarted
-        bool under_our_token;  // the worker obeys this leader and no older one
+        bool under_our_token;  // the worker has seen our token: it accepts commands of no older
+                               // leader
     };
 
     static bool is_stale(const Machine& machine, const WorkerStatus& status);
     void update_worker_state(const StatusUpdate& update, Machine& machine);
     static void update_reclaim_notice(const StatusUpdate& update, Machine& machine);
-    // Returns the tasks that the status mentions with their current attempt.
+    // Returns the tasks that the status reports with their current attempt.
     std::set<TaskRef> apply_reported_tasks(const StatusUpdate& update);
     void apply_reported_task(const StatusUpdate& update, TaskRef ref, const ReportedTask& reported);
     void apply_present_task(const StatusUpdate& update, TaskRef ref, const ReportedTask& reported);
     void reconcile_unreported_tasks(const StatusUpdate& update, const std::set<TaskRef>& reported);
     static bool run_command_dropped(const StatusUpdate& update, const Task& task);
     void reconcile_dispatched_task(const StatusUpdate& update, TaskRef ref,
-                                   bool& missed_answer_recorded);
+                                   bool& missed_response_recorded);
     void reconcile_assigned_task(const StatusUpdate& update, TaskRef ref);
 
     LeaderContext& context_;
--- a/tests/fencing_test.cpp
+++ b/tests/fencing_test.cpp
@@ -1,4 +1,4 @@
-// What protects a task from running twice: durable placements, fencing tokens, stale heartbeats.
+// Tests that no task runs twice: durable placements, fencing tokens and stale heartbeats.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -31,7 +31,7 @@
     ASSERT_EQ(commands.size(), 1U);
     EXPECT_EQ(commands[0].type, WorkerCommandType::run);
     EXPECT_EQ(commands[0].attempt, 1U);
-    // The answer was lost: the next heartbeat still lacks it.
+    // The response was lost: the next heartbeat still lacks the task.
     commands = bench.heartbeat("host-1");
     ASSERT_EQ(commands.size(), 1U);
     EXPECT_EQ(commands[0].attempt, 1U);
@@ -44,67 +44,74 @@
     bench.lead({{"host-1", 0}});
     bench.job(bench.spec("j-1", 4));
     bench.pass(600);
-    std::uint64_t saved = bench.sequence;
-    bench.sequence = 0;  // older than what was heard
+    std::uint64_t saved_sequence = bench.sequence;
+    bench.sequence = 0;  // lower than that of a heartbeat already received
     EXPECT_TRUE(bench.heartbeat("host-1").empty());
-    bench.sequence = saved;
+    bench.sequence = saved_sequence;
     EXPECT_EQ(bench.heartbeat("host-1").size(), 1U);
 }
 
-TEST(Fencing, CountsAnInheritedTaskUntilItsMachineAnswersUnderOurToken) {
+TEST(Fencing, KeepsAnInheritedTaskUntilItsWorkerReportsUnderOurToken) {
     LeaderBench bench;
-    JobSpec s = bench.spec("j-1", 4);
+    JobSpec job_spec = bench.spec("j-1", 4);
     bench.context->replica.apply(
-        {keys::job("j-1"), encode_job({s, false}, bench.context->names), 8});
+        {keys::job("j-1"), encode_job({job_spec, false}, bench.context->names), 8});
     bench.context->replica.apply(
         {keys::placement_record("j-1", 0), encode_placement_record({{3, false, "host-1"}}), 9});
     bench.lead({});
     // The registry lists the machine.
     bench.leader.reset();
-    RegistryRecord r;
-    r.machines.push_back({"host-1", 0, 0, false, false, false});
-    bench.context->replica.apply({keys::kRegistry, encode_registry(r, bench.context->names), 20});
+    RegistryRecord registry;
+    registry.machines.push_back({"host-1", 0, 0, false, false, false});
+    bench.context->replica.apply(
+        {keys::kRegistry, encode_registry(registry, bench.context->names), 20});
     bench.elect(60);
     EXPECT_EQ(bench.where("j-1"), "host-1");
-    bench.heartbeat("host-1", {}, 50);  // it has seen the older token only: absence proves nothing
+    // The worker has seen only the older token, so the missing task may still be started there.
+    bench.heartbeat("host-1", {}, 50);
     EXPECT_EQ(bench.where("j-1"), "host-1");
-    bench.pass(12000);  // longer than the lease, but an older leader may still answer it
+    bench.pass(12000);  // longer than the lease, which an older leader may still be renewing
     EXPECT_EQ(bench.where("j-1"), "host-1");
 }
 
-// A member that gave up waiting is run again under the same attempt: a report from before that,
-// heard by a later leader, once made it count as gone while it ran with the others.
-TEST(Fencing, TakesNoProofFromAStaleStatusOfAWaitingGangMember) {
+// A gang member that gave up waiting is run again under the same attempt number. A status from
+// before the rerun reached the next leader, which then considered the task lost while it was
+// running with the rest of its gang.
+TEST(Fencing, DoesNotTakeAGangMemberForLostByAStatusUnderAnOlderToken) {
     LeaderBench bench;
-    JobSpec s = bench.spec("j-1", 2, 2, true);
+    JobSpec job_spec = bench.spec("j-1", 2, 2, true);
     bench.context->replica.apply(
-        {keys::job("j-1"), encode_job({s, false}, bench.context->names), 20});
+        {keys::job("j-1"), encode_job({job_spec, false}, bench.context->names), 20});
     std::vector<TaskRecord> stored(2);
     stored[0] = {1, false, "host-1"};
     stored[1] = {1, false, "host-2"};
     bench.context->replica.apply(
         {keys::placement_record("j-1", 0), encode_placement_record(stored), 21});
-    RegistryRecord r;
-    r.first_scale_out_done = true;
-    r.machines = {{"host-1", 0, 0, false, false, false}, {"host-2", 0, 0, false, false, false}};
-    bench.context->replica.apply({keys::kRegistry, encode_registry(r, bench.context->names), 5});
+    RegistryRecord registry;
+    registry.first_scale_out_done = true;
+    registry.machines = {{"host-1", 0, 0, false, false, false},
+                         {"host-2", 0, 0, false, false, false}};
+    bench.context->replica.apply(
+        {keys::kRegistry, encode_registry(registry, bench.context->names), 5});
     bench.elect(50);
     bench.heartbeat("host-2", {{"j-1", 1, 1, TaskState::running, "", false}}, 40);
     bench.heartbeat("host-1", {{"j-1", 0, 1, TaskState::exited, "alone", false}}, 40);
     bench.pass(500);
     EXPECT_EQ(bench.where("j-1", 0), "host-1");
     EXPECT_EQ(bench.where("j-1", 1), "host-2");
-    // Nor is it one that was never started: stopped with the others, it stays counted.
+    // Nor does the status show that the task was never started: when the job is cancelled, the task
+    // stays on its machine until it is proven stopped.
     bench.context->replica.apply(
-        {keys::job("j-1"), encode_job({s, true}, bench.context->names), 30});
+        {keys::job("j-1"), encode_job({job_spec, true}, bench.context->names), 30});
     bench.leader->job_changed(bench.now, "j-1");
     EXPECT_EQ(bench.where("j-1", 0), "host-1");
-    // Under our token it is a proof: the gang had begun, and goes nowhere without it.
+    // A status under our token proves that the task is gone. Its gang had begun and can't continue
+    // without it, so the task is not run again in place.
     bench.heartbeat("host-1", {{"j-1", 0, 1, TaskState::exited, "alone", false}}, 50);
     EXPECT_EQ(bench.where("j-1", 0), "");
 }
 
-TEST(Fencing, MakesDoneDurableBeforeTheWorkerClearsIt) {
+TEST(Fencing, MakesCompletionDurableBeforeTheWorkerClearsTheTask) {
     LeaderBench bench;
     bench.lead({{"host-1", 0}});
     bench.job(bench.spec("j-1", 4));
@@ -114,8 +121,8 @@
     auto commands = bench.heartbeat("host-1", {{"j-1", 0, 1, TaskState::exited, "done", false}});
     bench.pass(300);
     commands = bench.heartbeat("host-1", {{"j-1", 0, 1, TaskState::exited, "done", false}});
-    for (const WorkerCommand& o : commands) {
-        EXPECT_NE(o.type, WorkerCommandType::clear);
+    for (const WorkerCommand& command : commands) {
+        EXPECT_NE(command.type, WorkerCommandType::clear);
     }
 }
 
--- a/tests/leader_bench.hpp
+++ b/tests/leader_bench.hpp
@@ -1,5 +1,5 @@
-// A leader by itself, without a world around it: the test plays store, cloud and workers, and moves
-// the clock.
+// A test harness for one leader: the test takes the place of the store, the cloud and the workers,
+// and advances the clock.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -16,16 +16,17 @@
 
 namespace walkford {
 
-// Two machine types ("small": 8 cores, "gpu": 32 cores and 4 GPUs) and two teams. Writes succeed at
-// once unless `answer_writes` is taken away; calls to the cloud are kept in `asked`.
+// A leader with two machine types ("small": 8 cores, "gpu": 32 cores and 4 GPUs) and two teams.
+// Writes to the store succeed at once unless `answer_writes` is false. Requests to the cloud are
+// collected and get no response unless the test sends one.
 struct LeaderBench {
     PlatformSettings platform_settings;
     OperatorSettings operator_settings = test_operator_settings();
     std::unique_ptr<ControllerContext> context;
     std::unique_ptr<Leader> leader;
     Ms now = 1000;
-    std::uint64_t created_version = 10;
-    std::uint64_t sequence = 1;
+    std::uint64_t next_created_version = 10;
+    std::uint64_t sequence = 1;  // of the last heartbeat; also its request id
     std::vector<CloudRequest> asked;
     std::vector<Transaction> written;
     std::map<RequestId, HeartbeatResponse> answers;
@@ -49,94 +50,101 @@
         context->machine_types = {{small, {8, 0, 32}, 50, 1, 1, 0.2, 10, {0, 1}},
                                   {gpu, {32, 4, 128}, 50, 1, 9, 2, 10, {0, 1}}};
     }
-    // A leader of what the view holds; no machine has reported to it.
+    // Starts a leader from the contents of the store replica. No worker has reported to it yet.
     void elect(std::uint64_t fencing_token) {
         leader = std::make_unique<Leader>(*context, fencing_token, now);
         leader->context().depose = [](Ms, const char*) {};
         leader->context().refresh = [](Ms) {};
         leader->set_authority(true, now + 1000000, now + 1000000);
     }
-    // A registry with these machines, all up.
+    // Stores a registry with these machines, given as name and machine type, starts a leader, and
+    // sends it a first heartbeat from every machine.
     void lead(const std::vector<std::pair<std::string, int>>& machines) {
-        RegistryRecord r;
-        r.first_scale_out_done = !machines.empty();
+        RegistryRecord registry;
+        registry.first_scale_out_done = !machines.empty();
         for (const auto& [name, machine_type] : machines) {
-            r.machines.push_back({name, static_cast<Id>(machine_type), 0, false, false, false});
+            registry.machines.push_back(
+                {name, static_cast<Id>(machine_type), 0, false, false, false});
         }
-        context->replica.apply({keys::kRegistry, encode_registry(r, context->names), 5});
+        context->replica.apply({keys::kRegistry, encode_registry(registry, context->names), 5});
         elect(50);
         for (const auto& [name, machine_type] : machines) {
             heartbeat(name);
         }
     }
+    // Sends a heartbeat and returns the commands in its response; none if the response is deferred.
     std::vector<WorkerCommand> heartbeat(const std::string& name,
                                          std::vector<ReportedTask> tasks = {},
                                          std::uint64_t fencing_token = 50,
                                          std::uint64_t incarnation = 1) {
-        HeartbeatRequest q;
-        q.request = ++sequence;
-        q.worker_status.machine = name;
-        q.worker_status.machine_type = "small";
-        q.worker_status.zone = "a";
-        q.worker_status.incarnation = incarnation;
-        q.worker_status.sequence = sequence;
-        q.worker_status.fencing_token = fencing_token;
-        q.worker_status.tasks = std::move(tasks);
-        leader->heartbeat(now, q);
+        HeartbeatRequest request;
+        request.request = ++sequence;
+        request.worker_status.machine = name;
+        request.worker_status.machine_type = "small";
+        request.worker_status.zone = "a";
+        request.worker_status.incarnation = incarnation;
+        request.worker_status.sequence = sequence;
+        request.worker_status.fencing_token = fencing_token;
+        request.worker_status.tasks = std::move(tasks);
+        leader->heartbeat(now, request);
         drain();
-        auto it = answers.find(q.request);  // none yet: the answer is held
-        return it == answers.end() ? std::vector<WorkerCommand>{} : it->second.commands;
+        auto response = answers.find(request.request);
+        return response == answers.end() ? std::vector<WorkerCommand>{} : response->second.commands;
     }
     JobSpec spec(const std::string& id, double cpus, std::uint32_t tasks = 1, bool gang = false) {
-        JobSpec s;
-        s.id = id;
-        s.team = 0;
-        s.tasks = tasks;
-        s.shape = gang ? JobShape::gang : JobShape::array;
-        s.each = {cpus, 0, 1};
-        s.spot = true;
-        return s;
+        JobSpec job_spec;
+        job_spec.id = id;
+        job_spec.team = 0;
+        job_spec.tasks = tasks;
+        job_spec.shape = gang ? JobShape::gang : JobShape::array;
+        job_spec.each = {cpus, 0, 1};
+        job_spec.spot = true;
+        return job_spec;
     }
-    void job(const JobSpec& s) {
-        context->replica.apply(
-            {keys::job(s.id), encode_job({s, false}, context->names), created_version++});
-        leader->job_changed(now, s.id);
+    // Stores a submitted job and notifies the leader of it.
+    void job(const JobSpec& job_spec) {
+        context->replica.apply({keys::job(job_spec.id),
+                                encode_job({job_spec, false}, context->names),
+                                next_created_version++});
+        leader->job_changed(now, job_spec.id);
     }
-    // All writes succeed at once unless told otherwise.
+    // False: transactions are collected and get no response.
     bool answer_writes = true;
+    // Processes what the leader has sent until nothing more follows.
     void drain() {
         for (int round = 0; round < 20; ++round) {
             context->store.pump(now, context->out);
             context->cloud.pump(now, context->out);
-            Outputs out = std::move(context->out);
+            Outputs outputs = std::move(context->out);
             context->out.clear();
-            if (out.empty()) {
+            if (outputs.empty()) {
                 return;
             }
-            for (Output& o : out) {
-                if (auto* b = std::get_if<HeartbeatResponse>(&o)) {
-                    answers[b->request] = *b;
+            for (Output& output : outputs) {
+                if (auto* response = std::get_if<HeartbeatResponse>(&output)) {
+                    answers[response->request] = *response;
                 }
-                if (auto* c = std::get_if<CloudRequest>(&o)) {
-                    asked.push_back(*c);
+                if (auto* cloud_request = std::get_if<CloudRequest>(&output)) {
+                    asked.push_back(*cloud_request);
                 }
-                if (auto* s = std::get_if<StoreRequest>(&o)) {
-                    if (s->operation != StoreOperation::transaction) {
+                if (auto* store_request = std::get_if<StoreRequest>(&output)) {
+                    if (store_request->operation != StoreOperation::transaction) {
                         continue;
                     }
-                    written.push_back(s->transaction);
+                    written.push_back(store_request->transaction);
                     if (!answer_writes) {
                         continue;
                     }
-                    StoreResponse r;
-                    r.call = s->call;
-                    r.status = StoreStatus::ok;
-                    r.revision = ++revision;
-                    context->store.reply(now, r);
+                    StoreResponse response;
+                    response.call = store_request->call;
+                    response.status = StoreStatus::ok;
+                    response.revision = ++revision;
+                    context->store.reply(now, response);
                 }
             }
         }
     }
+    // Advances the clock by the span in steps of 50 ms, with a tick of the leader at each.
     void pass(Ms span) {
         for (Ms end = now + span; now < end;) {
             now += 50;
@@ -145,17 +153,20 @@
         }
     }
     const ClusterState& cluster() { return leader->context().cluster; }
-    std::string where(const std::string& id, std::uint32_t task = 0) {
-        ClusterState& b = leader->context().cluster;
-        Id m = b.task({b.find_job(id), task}).machine;
-        return m == kNone ? "" : b.machines[m].name;
+    // The name of the machine that a task is placed on; empty if it is on none.
+    std::string where(const std::string& job_id, std::uint32_t task = 0) {
+        ClusterState& state = leader->context().cluster;
+        Id machine_id = state.task({state.find_job(job_id), task}).machine;
+        return machine_id == kNone ? "" : state.machines[machine_id].name;
     }
+    // How many requests for a machine of that type the cloud has received.
     int scale_out_requests(const std::string& machine_type) {
-        int n = 0;
-        for (const CloudRequest& c : asked) {
-            n += c.operation == CloudOperation::scale_out && c.machine_type == machine_type;
+        int count = 0;
+        for (const CloudRequest& cloud_request : asked) {
+            count += cloud_request.operation == CloudOperation::scale_out &&
+                     cloud_request.machine_type == machine_type;
         }
-        return n;
+        return count;
     }
 };
 
