--- a/src/bookkeeping/cluster_state.cpp
+++ b/src/bookkeeping/cluster_state.cpp
@@ -154,7 +154,7 @@
     }
     double slots = kMaxSlots;
     for (Resource resource : kResources) {
-        double each = spec.each.get(resource);
+        double each = spec.task_resources.get(resource);
         if (each > 0) {
             slots = std::min(slots, std::floor((free.get(resource) + kRoundingSlack) / each));
         }
@@ -219,22 +219,22 @@
     assigned.machine = machine_id;
     assigned.phase = TaskPhase::assigned;
     assigned.state = TaskState::unknown;
-    assigned.inherited = false;
+    assigned.assigned_by_earlier_leader = false;
     assigned.stopping = false;
-    assigned.rerun = false;
+    assigned.rerun_in_place = false;
     assigned.failure_not_counted = false;
     assigned.stop_sent_at = -1;
     assigned.running_since = -1;
     assigned.since = now;
     Machine& machine = machines[machine_id];
-    machine.used += job.spec.each;
+    machine.used += job.spec.task_resources;
     machine.tasks.insert(ref);
     if (job.spec.image != kNone) {
         machine.images[job.spec.image] = now;
     }
     ++job.assigned;
     ++job.zones[machine.zone];
-    add_team_usage(job.spec.team, job.spec.each);
+    add_team_usage(job.spec.team, job.spec.task_resources);
     mark_dirty(ref);
 }
 
@@ -245,7 +245,7 @@
     }
     Job& job = jobs[ref.job];
     Machine& machine = machines[assigned.machine];
-    machine.used -= job.spec.each;
+    machine.used -= job.spec.task_resources;
     machine.tasks.erase(ref);
     if (machine.tasks.empty()) {
         machine.used = {};  // discards accumulated rounding errors
@@ -254,7 +254,7 @@
     if (--job.zones[machine.zone] == 0) {
         job.zones.erase(machine.zone);
     }
-    remove_team_usage(job.spec.team, job.spec.each);
+    remove_team_usage(job.spec.team, job.spec.task_resources);
     assigned.machine = kNone;
     assigned.stopping = false;
     mark_dirty(ref);
@@ -275,8 +275,8 @@
     }
     job.retry_queue.push_back(ref.task);
     if (machine != kNone) {
-        job.interrupted_in = machines[machine].zone;
-        job.interrupted_at = now;
+        job.last_interruption_zone = machines[machine].zone;
+        job.last_interruption_at = now;
     }
 }
 
--- a/src/bookkeeping/cluster_state_records.cpp
+++ b/src/bookkeeping/cluster_state_records.cpp
@@ -85,7 +85,7 @@
         return;
     }
     assign(ref, machine, record.attempt, now);
-    loaded.inherited = true;
+    loaded.assigned_by_earlier_leader = true;
 }
 
 void ClusterState::load_placement_record(Id job_id, std::uint32_t index, const StoredValue& stored,
--- a/src/bookkeeping/finished_job_record.cpp
+++ b/src/bookkeeping/finished_job_record.cpp
@@ -14,14 +14,14 @@
 constexpr const char* kStatusDone = "d";
 }  // namespace
 
-Json encode_ended(const EndedRecord& ended) {
+Json encode_finished_job(const FinishedJobRecord& ended) {
     return Json{{kStatus, ended.cancelled ? kStatusCancelled : kStatusDone}, {kTasks, ended.tasks}};
 }
 
-std::optional<EndedRecord> decode_ended(const Json& value) {
+std::optional<FinishedJobRecord> decode_finished_job(const Json& value) {
     try {
-        return EndedRecord{value.at(kStatus).get<std::string>() == kStatusCancelled,
-                           value.at(kTasks).get<std::uint32_t>()};
+        return FinishedJobRecord{value.at(kStatus).get<std::string>() == kStatusCancelled,
+                                 value.at(kTasks).get<std::uint32_t>()};
     } catch (const Json::exception&) {
         return std::nullopt;
     }
--- a/src/bookkeeping/finished_job_record.hpp
+++ b/src/bookkeeping/finished_job_record.hpp
@@ -10,14 +10,14 @@
 namespace walkford {
 
 // How a job ended.
-struct EndedRecord {
+struct FinishedJobRecord {
     bool cancelled = false;
     std::uint32_t tasks = 0;
 };
 
 // Returns the value stored for a finished job. The job's id is part of the key, not of the value.
-Json encode_ended(const EndedRecord& ended);
+Json encode_finished_job(const FinishedJobRecord& ended);
 // Returns nullopt if the value is not such a record.
-std::optional<EndedRecord> decode_ended(const Json& value);
+std::optional<FinishedJobRecord> decode_finished_job(const Json& value);
 
 }  // namespace walkford
--- a/src/bookkeeping/job.hpp
+++ b/src/bookkeeping/job.hpp
@@ -56,11 +56,12 @@
     Ms not_before = 0;                // end of the backoff
     int aged_priority = 0;            // the priority reached by aging while waiting
     Ms waiting_since = 0;
-    Id interrupted_in = kNone;  // the zone in which one of its tasks was last lost or stopped
-    Ms interrupted_at = -1;     // when that happened
-    Ms reserve_at = -1;         // gang: when a reservation is next planned
-    bool reserving = false;     // gang: whether machines are reserved for it
-    Ms replace_by = -1;         // gang: deadline for replacing members lost before it started
+    Id last_interruption_zone =
+        kNone;                     // the zone in which one of its tasks was last lost or stopped
+    Ms last_interruption_at = -1;  // when that happened
+    Ms reserve_at = -1;            // gang: when a reservation is next planned
+    bool reserving = false;        // gang: whether machines are reserved for it
+    Ms replacement_deadline = -1;  // gang: deadline for replacing members lost before it started
 
     // The submitted priority, or the one reached by aging if that is higher.
     int effective_priority() const {
--- a/src/bookkeeping/job_record.cpp
+++ b/src/bookkeeping/job_record.cpp
@@ -95,7 +95,8 @@
 
 void decode_amounts(const Json& value, JobSpec& spec) {
     const Json& each = value.at(kResourcesEach);
-    spec.each = {each.at(0).get<double>(), each.at(1).get<double>(), each.at(2).get<double>()};
+    spec.task_resources = {each.at(0).get<double>(), each.at(1).get<double>(),
+                           each.at(2).get<double>()};
     const Json& times = value.at(kTimes);
     spec.estimate_s = times.at(0).get<double>();
     spec.checkpoint_interval_s = times.at(1).get<double>();
@@ -125,7 +126,8 @@
     }
     value[kPriority] = static_cast<int>(spec.priority);
     value[kFlags] = encode_flags(spec);
-    value[kResourcesEach] = Json::array({spec.each.cpus, spec.each.gpus, spec.each.ram});
+    value[kResourcesEach] =
+        Json::array({spec.task_resources.cpus, spec.task_resources.gpus, spec.task_resources.ram});
     value[kTimes] = Json::array(
         {spec.estimate_s, spec.checkpoint_interval_s, spec.checkpoint_duration_s, spec.deadline_s});
     encode_constraints(spec, names, value);
--- a/src/bookkeeping/machine.hpp
+++ b/src/bookkeeping/machine.hpp
@@ -33,9 +33,9 @@
     Ms lease_renewed_at = -1;    // last heartbeat answered with 200; the lease may count from then
     bool lease_expired = false;  // has certainly expired, with no heartbeat since
     std::uint64_t min_incarnation = 0;  // earlier incarnations ended when the lease expired
-    Ms reclaim_at = -1;       // spot: when the cloud reclaims the machine, by the leader's clock
-    Ms probe_at = 0;          // when the worker's status is next requested directly
-    bool probe_open = false;  // whether such a request is unanswered
+    Ms reclaim_at = -1;  // spot: when the cloud reclaims the machine, by the leader's clock
+    Ms probe_at = 0;     // when the worker's status is next requested directly
+    bool probe_in_flight = false;  // whether such a request is unanswered
 };
 
 // Tracks whether the worker receives the leader's answers, which its later heartbeats show. In a
--- a/src/bookkeeping/stored_keys.cpp
+++ b/src/bookkeeping/stored_keys.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 std::string placement_record(const std::string& job, std::uint32_t index) {
-    return kTasks + job + "/" + std::to_string(index);
+    return kPlacementRecords + job + "/" + std::to_string(index);
 }
 
 std::string registry_part(std::uint32_t index) {
@@ -38,22 +38,23 @@
 }
 
 std::optional<PlacementRecordKey> parse_placement_record(const std::string& key) {
-    if (key.rfind(kTasks, 0) != 0) {
+    if (key.rfind(kPlacementRecords, 0) != 0) {
         return std::nullopt;
     }
     auto slash = key.rfind('/');
-    if (slash <= kTasks.size()) {
+    if (slash <= kPlacementRecords.size()) {
         return std::nullopt;
     }
     auto index = parse_index(std::string_view(key).substr(slash + 1));
     if (!index) {
         return std::nullopt;
     }
-    return PlacementRecordKey{key.substr(kTasks.size(), slash - kTasks.size()), *index};
+    return PlacementRecordKey{
+        key.substr(kPlacementRecords.size(), slash - kPlacementRecords.size()), *index};
 }
 }  // namespace keys
 
-bool job_id_ok(const std::string& id) {
+bool is_valid_job_id(const std::string& id) {
     constexpr std::size_t kMinLength = 3;
     constexpr std::size_t kMaxLength = 62;
     if (id.size() < kMinLength || id.size() > kMaxLength || id.rfind("j-", 0) != 0) {
--- a/src/bookkeeping/stored_keys.hpp
+++ b/src/bookkeeping/stored_keys.hpp
@@ -14,13 +14,13 @@
 inline const std::string kRegistry = "w/machines";
 inline const std::string kMachineTypes = "w/kinds";
 // Prefixes of keys. The comment says what follows the prefix.
-inline const std::string kJobs = "w/j/";           // id of a pending or running job
-inline const std::string kEnded = "w/d/";          // id of a job that is done or cancelled
-inline const std::string kTasks = "w/t/";          // id of a job, "/", index of the record
-inline const std::string kRegistryParts = "w/m/";  // index of the part
-inline const std::string kAnnouncements = "w/v/";  // name of a controller
-inline const std::string kRelays = "w/r/";         // name of a controller
-inline const std::string kZoneRecords = "w/z/";    // name of a zone
+inline const std::string kJobs = "w/j/";              // id of a pending or running job
+inline const std::string kFinishedJobs = "w/d/";      // id of a job that is done or cancelled
+inline const std::string kPlacementRecords = "w/t/";  // id of a job, "/", index of the record
+inline const std::string kRegistryParts = "w/m/";     // index of the part
+inline const std::string kAnnouncements = "w/v/";     // name of a controller
+inline const std::string kRelays = "w/r/";            // name of a controller
+inline const std::string kZoneRecords = "w/z/";       // name of a zone
 
 // The key of the record of a failing or recovering zone.
 inline std::string zone_record(const std::string& zone) { return kZoneRecords + zone; }
@@ -38,7 +38,7 @@
 // The key of a job that is pending or running.
 inline std::string job(const std::string& id) { return kJobs + id; }
 // The key of a job that is done or cancelled.
-inline std::string ended(const std::string& id) { return kEnded + id; }
+inline std::string finished_job(const std::string& id) { return kFinishedJobs + id; }
 // The key of a placement record of a job.
 std::string placement_record(const std::string& job, std::uint32_t index);
 
@@ -53,6 +53,6 @@
 
 // Whether the text is a valid job id: `j-` followed by 1 to 60 ASCII letters, digits, dashes and
 // underscores. Ids are restricted because they come from users and become part of a key.
-bool job_id_ok(const std::string& id);
+bool is_valid_job_id(const std::string& id);
 
 }  // namespace walkford
--- a/src/bookkeeping/task.hpp
+++ b/src/bookkeeping/task.hpp
@@ -49,12 +49,14 @@
     // A write that changes the task was sent and is not known to have failed. The contents of the
     // stored record are unknown until a later write is answered.
     bool write_outcome_unknown = false;
-    bool inherited = false;  // assigned by an earlier leader and not yet reported to this one
+    bool assigned_by_earlier_leader =
+        false;  // assigned by an earlier leader and not yet reported to this one
     bool stopping = false;
-    bool rerun = false;  // ended because its gang was incomplete; cleared and run again in place
+    bool rerun_in_place =
+        false;  // ended because its gang was incomplete; cleared and run again in place
     // Stopped by the leader, so that a failure counts against neither the job nor the machine.
     bool failure_not_counted = false;
-    float stop_grace = 0;                 // seconds
+    float stop_grace_s = 0;               // seconds
     std::uint64_t dispatch_sequence = 0;  // the heartbeat whose answer carried `run`
     std::uint64_t dispatch_incarnation = 0;
     Ms since = 0;  // when the phase began
@@ -62,7 +64,7 @@
     Ms stop_sent_at = -1;
 
     // Whether the current placement is stored durably, so that `run` may be sent.
-    bool durable_here() const {
+    bool placement_durable() const {
         return machine != kNone && durable_machine == machine && durable_attempt == attempt &&
                !durable_done && !write_outcome_unknown;
     }
--- a/src/bookkeeping/types.hpp
+++ b/src/bookkeeping/types.hpp
@@ -142,7 +142,7 @@
     JobShape shape = JobShape::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 1;
-    Resources each;  // of one task
+    Resources task_resources;  // of one task
     bool any_machine_type = true;
     std::vector<Id> machine_types;  // allowed ones, unless any_machine_type
     Id zone = kNone;                // the only allowed one, or kNone
@@ -178,7 +178,7 @@
     // The number of tasks that the team's quota must admit at the same time.
     std::uint32_t needed_at_once() const { return shape == JobShape::array ? 1 : tasks; }
     // The largest number of tasks that may run in one zone.
-    std::uint32_t zone_most() const { return spread ? (tasks + 1) / 2 : tasks; }
+    std::uint32_t max_tasks_per_zone() const { return spread ? (tasks + 1) / 2 : tasks; }
 };
 
 // A type of machine that the cloud offers. The prices are the cloud's list prices.
--- a/src/coordination/cloud/cloud_manager.hpp
+++ b/src/coordination/cloud/cloud_manager.hpp
@@ -45,9 +45,9 @@
     // group is open.
     bool can_request(Id machine_type, Id zone, bool spot, Ms now) const;
     // Whether the cloud refused a scale-out request in the zone and its backoff is still running.
-    bool refused_lately(Id zone, Ms now) const { return backoff_.blocks_zone(zone, now); }
+    bool zone_backed_off(Id zone, Ms now) const { return backoff_.blocks_zone(zone, now); }
     // Whether the registry has been loaded, or created from the cloud's first list.
-    bool known() const { return registry_.initialized(); }
+    bool registry_initialized() const { return registry_.initialized(); }
     // Scale-out requests whose outcome is not known yet.
     const std::vector<ScaleOutRequest>& scale_out_requests() const {
         return registry_.scale_out_requests();
--- a/src/coordination/cloud/machine_registry_write.cpp
+++ b/src/coordination/cloud/machine_registry_write.cpp
@@ -121,7 +121,7 @@
             "attempt in {} ms",
             sent.size(), kTooLargeRetryDelay);
     }
-    if (response.status != StoreStatus::conflict || context_.deposed_by(now, response)) {
+    if (response.status != StoreStatus::conflict || context_.depose_if_superseded(now, response)) {
         return;
     }
     // The store has executed an earlier copy of this leader's own write. The next write replaces
--- a/src/coordination/cloud/machine_releaser.cpp
+++ b/src/coordination/cloud/machine_releaser.cpp
@@ -90,8 +90,8 @@
     std::string name = cluster.machines[machine_id].name;
     bool registered = cluster.machines[machine_id].registered;
     backoff_.clear_machine_type(cluster.machines[machine_id].machine_type);
-    context_.scale_out_now = true;
-    lifecycle_.machine_emptied(machine_id, now, reason);
+    context_.scale_out_requested = true;
+    lifecycle_.requeue_machine_tasks(machine_id, now, reason);
     cluster.forget_machine(machine_id);
     unregistered_.forget(name);
     pending_releases_.erase(name);
--- a/src/coordination/cloud/machine_type_reader.cpp
+++ b/src/coordination/cloud/machine_type_reader.cpp
@@ -31,7 +31,7 @@
     context_.controller.machine_types = response.machine_types;
     context_.cluster.set_machine_types(response.machine_types);
     if (first_read) {
-        context_.place_now = true;
+        context_.placement_requested = true;
     }
     if (!context_.controller.replica.machine_types) {
         store(response.machine_types);
--- a/src/coordination/cloud/scale_out_requester.cpp
+++ b/src/coordination/cloud/scale_out_requester.cpp
@@ -153,7 +153,7 @@
         registry_.set_first_scale_out_done();
     }
     registry_.remove_scale_out_request(request.name);
-    context_.place_now = true;
+    context_.placement_requested = true;
     registry_.confirm_registration_after_write();
     registry_.write(now);
 }
@@ -202,7 +202,7 @@
     backoff_.add_refusal(now, group,
                          to_ms(context_.controller.operator_settings.no_capacity_backoff_s));
     // Another group is requested at the next tick.
-    context_.scale_out_now = true;
+    context_.scale_out_requested = true;
 }
 
 }  // namespace walkford
--- a/src/coordination/context/cloud_client.hpp
+++ b/src/coordination/context/cloud_client.hpp
@@ -17,21 +17,21 @@
 // term are still matched with their callbacks.
 class CloudClient {
   public:
-    using Then = PendingCalls<CloudResponse>::Then;
+    using ResponseCallback = PendingCalls<CloudResponse>::ResponseCallback;
 
     // `requests_per_s`: the cloud's rate limit. The client uses the share kRateLimitShare of it.
     explicit CloudClient(double requests_per_s)
         : rate_(requests_per_s * kRateLimitShare), tokens_(rate_) {}
 
     // Queues a call. `callback` runs when the response arrives.
-    void call(CloudRequest request, Then callback) {
+    void call(CloudRequest request, ResponseCallback callback) {
         bool is_read = request.operation == CloudOperation::list ||
                        request.operation == CloudOperation::list_machine_types;
         (is_read ? queued_reads_ : queued_scale_calls_)
             .push_back({std::move(request), std::move(callback)});
     }
     // Appends to `out` as many queued calls as the rate limit admits.
-    void pump(Ms now, Outputs& out) {
+    void send_queued(Ms now, Outputs& out) {
         refill(now);
         while (tokens_ >= 1.0) {
             auto& queue = queued_scale_calls_.empty() ? queued_reads_ : queued_scale_calls_;
@@ -59,7 +59,7 @@
 
     struct QueuedCall {
         CloudRequest request;
-        Then callback;
+        ResponseCallback callback;
     };
 
     void refill(Ms now) {
--- a/src/coordination/context/controller_context.hpp
+++ b/src/coordination/context/controller_context.hpp
@@ -44,8 +44,9 @@
     StoreClient store;
     CloudClient cloud;
     PendingCalls<WorkerResponse> workers;
-    std::uint32_t cluster_level = kFeatureNone;  // lowest of all controllers; see FeatureLevel
-    std::vector<MachineType> machine_types;      // empty until loaded
+    std::uint32_t cluster_feature_level =
+        kFeatureNone;                        // lowest of all controllers; see FeatureLevel
+    std::vector<MachineType> machine_types;  // empty until loaded
     std::mt19937_64 rng;
     Outputs out;  // of the current step
 
@@ -56,17 +57,19 @@
     // Whether records in the format of this feature level may be written. They may be only once all
     // controllers can read that format.
     bool may_write(std::uint32_t feature) const {
-        return cluster_level >= feature && platform_settings.feature_level >= feature;
+        return cluster_feature_level >= feature && platform_settings.feature_level >= feature;
     }
     // Whether all controllers have at some time run a later version than this one, so that stored
     // records may have a format that this version can't read.
-    bool newer_than_supported() const { return cluster_level > platform_settings.feature_level; }
+    bool cluster_needs_newer_version() const {
+        return cluster_feature_level > platform_settings.feature_level;
+    }
 
     // How long after the replica was last confirmed to be current a worker's heartbeat may be
     // answered. Such an answer renews the worker's lease, and that lease must expire no later than
     // cancel_s after the confirmation. The span is therefore cancel_s less one lease, the possible
     // clock drift during that lease, and the transit time of the heartbeat and its answer.
-    Ms cancel_span() const {
+    Ms heartbeat_answer_window() const {
         constexpr Ms kHeartbeatTransit = 2500;
         Ms span = to_ms(platform_settings.cancel_s) - with_drift(to_ms(platform_settings.lease_s)) -
                   kHeartbeatTransit;
--- a/src/coordination/context/pending_calls.hpp
+++ b/src/coordination/context/pending_calls.hpp
@@ -14,10 +14,10 @@
 class PendingCalls {
   public:
     // Called with the time at which the response arrived, and the response.
-    using Then = std::function<void(Ms, const Response&)>;
+    using ResponseCallback = std::function<void(Ms, const Response&)>;
 
     // Registers a pending call and returns the id to send with it.
-    CallId open(Then callback) {
+    CallId open(ResponseCallback callback) {
         CallId call = next_call_++;
         pending_.emplace(call, std::move(callback));
         return call;
@@ -30,14 +30,14 @@
         }
         // The callback may register further calls, which invalidates the iterator. Therefore the
         // entry is removed before the callback runs.
-        Then callback = std::move(entry->second);
+        ResponseCallback callback = std::move(entry->second);
         pending_.erase(entry);
         callback(now, response);
     }
 
   private:
     CallId next_call_ = 1;
-    std::unordered_map<CallId, Then> pending_;
+    std::unordered_map<CallId, ResponseCallback> pending_;
 };
 
 }  // namespace walkford
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -29,7 +29,7 @@
 enum class InputPriority : std::uint8_t { liveness, workers, health_check, users };
 
 InputPriority priority_of(const StoreResponse&) { return InputPriority::liveness; }
-InputPriority priority_of(const PeerInput&) { return InputPriority::liveness; }
+InputPriority priority_of(const IncomingPeerHeartbeat&) { return InputPriority::liveness; }
 InputPriority priority_of(const HeartbeatRequest&) { return InputPriority::workers; }
 InputPriority priority_of(const WorkerResponse&) { return InputPriority::workers; }
 InputPriority priority_of(const CloudResponse&) { return InputPriority::workers; }
@@ -87,8 +87,8 @@
     }
     tick(now);
     depose_if_requested(now);
-    context_.store.pump(now, context_.out);
-    context_.cloud.pump(now, context_.out);
+    context_.store.send_queued(now, context_.out);
+    context_.cloud.send_queued(now, context_.out);
     context_.out.emplace_back(WakeAt{wake_at(now)});
     Outputs out = std::move(context_.out);
     context_.out.clear();
@@ -173,10 +173,10 @@
         depose_requested_ = true;
         deposition_reason_ = reason;
     };
-    leader_context.peer_heard = [this](Ms now, std::size_t peer, Ms span) {
+    leader_context.peer_heard_within = [this](Ms now, std::size_t peer, Ms span) {
         return peer_heartbeats_.received_within(now, peer, span);
     };
-    leader_context.refresh = [this](Ms now) { watcher_.barrier(now, [](Ms, bool) {}); };
+    leader_context.refresh_replica = [this](Ms now) { watcher_.barrier(now, [](Ms, bool) {}); };
 }
 
 void Controller::on_deposed() {
@@ -193,7 +193,8 @@
     depose_requested_ = false;
     leadership_.depose(now, deposition_reason_.c_str());
     // Gives the other controllers time to be elected first.
-    leadership_.stand_back(now + (peer_heartbeats_.no_peers() ? 0 : kNoCampaignAfterResignation));
+    leadership_.postpone_campaign_until(
+        now + (peer_heartbeats_.no_peers() ? 0 : kNoCampaignAfterResignation));
 }
 
 // On a small controller, a wake-up costs more than the work done in it; wake-ups took 37% of the
@@ -277,7 +278,7 @@
         return;
     }
     leader_->set_authority(leadership_.valid(now),
-                           cancellations_known_until() + context_.cancel_span(),
+                           cancellations_known_until() + context_.heartbeat_answer_window(),
                            watcher_.confirmed_at());
 }
 
@@ -315,7 +316,7 @@
     }
     if (reachability_.workers_reach_only_others(now, elected_at)) {
         leadership_.depose(now, "no worker reaches this controller, but workers reach its peers");
-        leadership_.stand_back(now + kNoCampaignAfterUnreachable);
+        leadership_.postpone_campaign_until(now + kNoCampaignAfterUnreachable);
     }
 }
 
@@ -335,7 +336,7 @@
 
 bool Controller::ready(Ms now) const {
     return watcher_.ready() && !context_.machine_types.empty() && now >= unready_until_ &&
-           !reachability_.isolated(now) && !context_.newer_than_supported();
+           !reachability_.isolated(now) && !context_.cluster_needs_newer_version();
 }
 
 }  // namespace walkford
--- a/src/coordination/controller/controller.hpp
+++ b/src/coordination/controller/controller.hpp
@@ -58,8 +58,8 @@
     void handle(Ms now, const StoreResponse& response) { context_.store.reply(now, response); }
     void handle(Ms now, const CloudResponse& response) { context_.cloud.reply(now, response); }
     void handle(Ms now, const WorkerResponse& response) { context_.workers.reply(now, response); }
-    void handle(Ms now, const PeerInput& input) {
-        peer_heartbeats_.receive(now, input.peer, input.fact);
+    void handle(Ms now, const IncomingPeerHeartbeat& input) {
+        peer_heartbeats_.receive(now, input.peer, input.peer_heartbeat);
     }
     // Responds to a worker's heartbeat with the name of the leader, if it is known.
     void redirect_worker(Ms now, const HeartbeatRequest& heartbeat);
--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -76,9 +76,9 @@
 }
 
 void Leader::set_authority(bool holds_lease, Ms heartbeat_answer_deadline,
-                           Ms view_confirmed_until) {
+                           Ms replica_confirmed_until) {
     context_.holds_lease = holds_lease;
-    context_.view_confirmed_until = view_confirmed_until;
+    context_.replica_confirmed_until = replica_confirmed_until;
     context_.heartbeat_answer_deadline = heartbeat_answer_deadline;
 }
 
@@ -100,7 +100,7 @@
     }
     if (job_id == kNone) {
         cluster.load_job(*stored_job, context_.controller.replica.placement_records(id), now);
-        context_.place_now = true;
+        context_.placement_requested = true;
         return;
     }
     Job& job = cluster.jobs[job_id];
@@ -128,7 +128,7 @@
         }
         placement_writer_.tick(now, order);
     }
-    workers_.respond_deferred(now, placer_.rounds());
+    workers_.respond_deferred(now, placer_.completed_passes());
 }
 
 }  // namespace walkford
--- a/src/coordination/controller/leader.hpp
+++ b/src/coordination/controller/leader.hpp
@@ -30,7 +30,7 @@
 
     // Sets what the leader is allowed to do until the next call. LeaderContext describes the three
     // values.
-    void set_authority(bool holds_lease, Ms heartbeat_answer_deadline, Ms view_confirmed_until);
+    void set_authority(bool holds_lease, Ms heartbeat_answer_deadline, Ms replica_confirmed_until);
 
     // Runs the periodic work of all subsystems. Called after each batch of inputs.
     void tick(Ms now);
--- a/src/coordination/controller/peer_heartbeats.cpp
+++ b/src/coordination/controller/peer_heartbeats.cpp
@@ -36,7 +36,7 @@
         }
         PeerHeartbeat heartbeat = build(now, monitors_[peer]);
         monitors_[peer].record_sent(now, sequence_);
-        context_.out.emplace_back(PeerSend{peer, std::move(heartbeat)});
+        context_.out.emplace_back(OutgoingPeerHeartbeat{peer, std::move(heartbeat)});
     }
 }
 
@@ -55,10 +55,10 @@
     heartbeat.echo_incarnation = monitor.last().incarnation;
     heartbeat.fencing_token = leadership_.known_fencing_token();
     heartbeat.leader = leadership_.known_leader();
-    heartbeat.store_quiet_ms = elapsed_since(context_.store.last_reached(), now);
-    heartbeat.up_ms = now - times_.started_at;
+    heartbeat.ms_since_store_response = elapsed_since(context_.store.last_reached(), now);
+    heartbeat.uptime_ms = now - times_.started_at;
     heartbeat.revision = context_.store.seen_revision();
-    heartbeat.heartbeat_quiet_ms = elapsed_since(times_.worker_heartbeat_received_at, now);
+    heartbeat.ms_since_worker_heartbeat = elapsed_since(times_.worker_heartbeat_received_at, now);
     return heartbeat;
 }
 
--- a/src/coordination/controller/reachability.cpp
+++ b/src/coordination/controller/reachability.cpp
@@ -41,9 +41,9 @@
     }
     const auto& monitors = peers_.monitors();
     return std::any_of(monitors.begin(), monitors.end(), [now](const PeerMonitor& monitor) {
-        std::int64_t store_quiet_ms = monitor.last().store_quiet_ms;
-        return monitor.received_within(now, kPeerReportValidFor) && store_quiet_ms >= 0 &&
-               store_quiet_ms + (now - monitor.received_at()) < kStoreQuietAfter;
+        std::int64_t ms_since_store_response = monitor.last().ms_since_store_response;
+        return monitor.received_within(now, kPeerReportValidFor) && ms_since_store_response >= 0 &&
+               ms_since_store_response + (now - monitor.received_at()) < kStoreQuietAfter;
     });
 }
 
@@ -81,9 +81,10 @@
 bool Reachability::workers_reach_a_peer(Ms now) const {
     const auto& monitors = peers_.monitors();
     return std::any_of(monitors.begin(), monitors.end(), [now](const PeerMonitor& monitor) {
-        std::int64_t heartbeat_quiet_ms = monitor.last().heartbeat_quiet_ms;
-        return monitor.received_within(now, kPeerReportValidFor) && heartbeat_quiet_ms >= 0 &&
-               heartbeat_quiet_ms < kWorkersReachPeerWithin;
+        std::int64_t ms_since_worker_heartbeat = monitor.last().ms_since_worker_heartbeat;
+        return monitor.received_within(now, kPeerReportValidFor) &&
+               ms_since_worker_heartbeat >= 0 &&
+               ms_since_worker_heartbeat < kWorkersReachPeerWithin;
     });
 }
 
--- a/src/coordination/controller/submission_validation.cpp
+++ b/src/coordination/controller/submission_validation.cpp
@@ -37,7 +37,8 @@
 std::set<Id> eligible_zones(const ControllerContext& context, const JobSpec& spec) {
     std::set<Id> zones;
     for (const MachineType& machine_type : context.machine_types) {
-        if (!spec.allows_machine_type(machine_type.id) || !spec.each.fits_in(machine_type.size)) {
+        if (!spec.allows_machine_type(machine_type.id) ||
+            !spec.task_resources.fits_in(machine_type.size)) {
             continue;
         }
         for (Id zone : machine_type.zones) {
@@ -68,7 +69,8 @@
     auto exceeds = [tasks](double each, double quota) {
         return quota > 0 && each * tasks > quota + kQuotaTolerance;
     };
-    if (exceeds(spec.each.cpus, team.quota.cpus) || exceeds(spec.each.gpus, team.quota.gpus)) {
+    if (exceeds(spec.task_resources.cpus, team.quota.cpus) ||
+        exceeds(spec.task_resources.gpus, team.quota.gpus)) {
         return "needs more than the team's limit";
     }
     return std::nullopt;
--- a/src/coordination/controller/user_requests.cpp
+++ b/src/coordination/controller/user_requests.cpp
@@ -141,7 +141,7 @@
     // accepted. One transaction moves a job from the live to the ended jobs, so this later read
     // can't miss it.
     context_.store.get(
-        keys::ended(job.job_id),
+        keys::finished_job(job.job_id),
         [this, job, callback](Ms at, const StoreResponse& response) {
             on_ended_read(at, job, response, callback);
         },
@@ -159,7 +159,7 @@
     }
     bool has_value = response.status == StoreStatus::ok && response.rows.size() == 1 &&
                      response.rows.front().value.has_value();
-    auto ended = has_value ? decode_ended(*response.rows.front().value) : std::nullopt;
+    auto ended = has_value ? decode_finished_job(*response.rows.front().value) : std::nullopt;
     if (!ended) {
         respond_with_failure(job.request, {http_status::kServiceUnavailable, kStoreUnavailable});
         return;
@@ -265,7 +265,7 @@
 
 void UserRequests::create(const JobRequest& job, Json record, int retries) {
     Transaction transaction;
-    transaction.comparisons = {{keys::job(job.job_id), 0}, {keys::ended(job.job_id), 0}};
+    transaction.comparisons = {{keys::job(job.job_id), 0}, {keys::finished_job(job.job_id), 0}};
     transaction.writes = {{keys::job(job.job_id), record, 0}};
     context_.store.transaction(
         RequestPriority::accept, std::move(transaction),
--- a/src/coordination/leader/job_completion.cpp
+++ b/src/coordination/leader/job_completion.cpp
@@ -49,9 +49,9 @@
     Transaction transaction;
     transaction.comparisons = {{keys::kLeader, context_.fencing_token},
                                {keys::job(job.spec.id), job.version}};
-    transaction.writes = {
-        {keys::ended(job.spec.id), encode_ended({end == JobEnd::cancelled, job.spec.tasks}), 0},
-        {keys::job(job.spec.id), std::nullopt, 0}};
+    transaction.writes = {{keys::finished_job(job.spec.id),
+                           encode_finished_job({end == JobEnd::cancelled, job.spec.tasks}), 0},
+                          {keys::job(job.spec.id), std::nullopt, 0}};
     std::size_t max_writes = context_.controller.store.limits().transaction_operations();
     for (std::uint32_t index = 0; index < job.placement_records.size(); ++index) {
         const auto& record = job.placement_records[index];
@@ -95,12 +95,12 @@
     }
     cluster.jobs[ending.job_id].ending = false;
     cluster.jobs[ending.job_id].retry_at = now + kWriteRetryDelay;
-    if (response.status != StoreStatus::conflict || context_.deposed_by(now, response)) {
+    if (response.status != StoreStatus::conflict || context_.depose_if_superseded(now, response)) {
         return;
     }
     // The job was cancelled in the meantime, or an earlier copy of this write took effect. The
     // refreshed replica shows which.
-    context_.refresh(now);
+    context_.refresh_replica(now);
 }
 
 void JobCompletion::delete_placement_records(const std::string& job_name,
--- a/src/coordination/leader/leader_context.cpp
+++ b/src/coordination/leader/leader_context.cpp
@@ -10,7 +10,7 @@
       fencing_token(token),
       elected_at(now) {}
 
-bool LeaderContext::deposed_by(Ms now, const StoreResponse& response) const {
+bool LeaderContext::depose_if_superseded(Ms now, const StoreResponse& response) const {
     bool other_leads = std::find(response.failed.begin(), response.failed.end(), keys::kLeader) !=
                        response.failed.end();
     if (other_leads) {
--- a/src/coordination/leader/placement_writer.cpp
+++ b/src/coordination/leader/placement_writer.cpp
@@ -74,7 +74,7 @@
     const std::vector<Task>& tasks =
         context_.cluster.placement_record(record.job_id, record.index).tasks;
     return std::any_of(tasks.begin(), tasks.end(), [](const Task& task) {
-        return task.machine != kNone && !task.durable_here();
+        return task.machine != kNone && !task.placement_durable();
     });
 }
 
@@ -142,12 +142,12 @@
 void PlacementWriter::on_conflict(Ms now, const OpenWrite& write, const StoreResponse& response) {
     spdlog::debug("write of record {} conflicted: keys changed in the store: {}", write.key,
                   fmt::join(response.failed, " "));
-    if (context_.deposed_by(now, response)) {
+    if (context_.depose_if_superseded(now, response)) {
         return;
     }
     for (const std::string& failed : response.failed) {
         if (failed == keys::job(write.job_name)) {
-            context_.refresh(now);
+            context_.refresh_replica(now);
         }
         if (failed == write.key) {
             read_record(write);
--- a/src/coordination/leader/task_lifecycle.cpp
+++ b/src/coordination/leader/task_lifecycle.cpp
@@ -19,14 +19,14 @@
         return StopResult::unchanged;
     }
     if (task.stopping) {
-        task.stop_grace = std::min(task.stop_grace, static_cast<float>(grace));
+        task.stop_grace_s = std::min(task.stop_grace_s, static_cast<float>(grace));
         return StopResult::unchanged;
     }
     task.stopping = true;
     task.failure_not_counted = failure_not_counted;
-    task.stop_grace = static_cast<float>(grace);
+    task.stop_grace_s = static_cast<float>(grace);
     task.stop_sent_at = -1;
-    bool start_sent = task.phase != TaskPhase::assigned || task.inherited;
+    bool start_sent = task.phase != TaskPhase::assigned || task.assigned_by_earlier_leader;
     return start_sent ? StopResult::stopping : StopResult::never_started;
 }
 
@@ -51,23 +51,23 @@
     spdlog::debug("task {}/{} attempt {} is gone from machine {}, requeued: {}", job.spec.id,
                   ref.task, task.attempt, cluster.machines[task.machine].name, reason);
     cluster.requeue(ref, now);
-    context_.place_now = true;
+    context_.placement_requested = true;
     if (!job.spec.starts_together() || job.assigned == 0) {
         return;
     }
     // A gang that has not begun keeps waiting until a replacement with the same attempt number
     // completes it. A gang that has begun cannot continue without the lost task, so its other tasks
     // are stopped and all of its tasks start again together.
-    if (!began && unbegun(ref.job)) {
-        if (job.replace_by < 0) {
-            job.replace_by = now + kReplaceFor;
+    if (!began && no_task_begun(ref.job)) {
+        if (job.replacement_deadline < 0) {
+            job.replacement_deadline = now + kReplacementTimeout;
         }
     } else {
         stop_job(ref.job, 0, now, true);
     }
 }
 
-bool TaskLifecycle::unbegun(Id job_id) const {
+bool TaskLifecycle::no_task_begun(Id job_id) const {
     for (const auto& record : context_.cluster.jobs[job_id].placement_records) {
         if (record && std::any_of(record->tasks.begin(), record->tasks.end(), proves_gang_begun)) {
             return false;
@@ -76,7 +76,7 @@
     return true;
 }
 
-void TaskLifecycle::machine_emptied(Id machine_id, Ms now, const char* reason) {
+void TaskLifecycle::requeue_machine_tasks(Id machine_id, Ms now, const char* reason) {
     auto& tasks = context_.cluster.machines[machine_id].tasks;
     while (!tasks.empty()) {
         task_lost(*tasks.begin(), now, reason);
@@ -112,7 +112,7 @@
     }
     for (TaskRef ref : never_started) {
         cluster.requeue(ref, now);
-        context_.place_now = true;
+        context_.placement_requested = true;
     }
 }
 
--- a/src/coordination/leader/task_lifecycle.hpp
+++ b/src/coordination/leader/task_lifecycle.hpp
@@ -13,7 +13,7 @@
   public:
     // How long a gang that has not begun may take to replace lost members. This is well below the
     // time that a gang waits for its last member.
-    static constexpr Ms kReplaceFor = 8000;
+    static constexpr Ms kReplacementTimeout = 8000;
 
     // The context must outlive this object.
     explicit TaskLifecycle(LeaderContext& context) : context_(context) {}
@@ -25,10 +25,10 @@
     void task_lost(TaskRef ref, Ms now, const char* reason, bool began = false);
 
     // Whether no task of the job is known to be running, stopping or done.
-    bool unbegun(Id job_id) const;
+    bool no_task_begun(Id job_id) const;
 
     // Handles every task on the machine as task_lost() does: all are proven to be gone from it.
-    void machine_emptied(Id machine_id, Ms now, const char* reason);
+    void requeue_machine_tasks(Id machine_id, Ms now, const char* reason);
 
     // Stops a task, or the whole job if its tasks start together. A task whose start command was
     // never sent is requeued at once. `grace` is in seconds; if a stop is requested several times,
--- a/src/coordination/leadership/feature_level.cpp
+++ b/src/coordination/leadership/feature_level.cpp
@@ -21,11 +21,11 @@
     for (const Peer& peer : context_.platform_settings.peers) {
         lowest = std::min(lowest, announced_by(peer.name));
     }
-    if (lowest <= context_.cluster_level) {
+    if (lowest <= context_.cluster_feature_level) {
         return;
     }
-    context_.cluster_level = lowest;
-    if (context_.newer_than_supported()) {
+    context_.cluster_feature_level = lowest;
+    if (context_.cluster_needs_newer_version()) {
         spdlog::error(
             "refusing to serve: all controllers have announced feature level {}, but this version "
             "supports only level {}",
--- a/src/coordination/leadership/leadership.cpp
+++ b/src/coordination/leadership/leadership.cpp
@@ -25,7 +25,7 @@
         }
         return;
     }
-    if (campaigning_ || !watcher_.ready() || context_.newer_than_supported()) {
+    if (campaigning_ || !watcher_.ready() || context_.cluster_needs_newer_version()) {
         return;
     }
     if (context_.replica.leader_version != 0) {
--- a/src/coordination/leadership/leadership.hpp
+++ b/src/coordination/leadership/leadership.hpp
@@ -25,7 +25,7 @@
     // Steps down and revokes the lease. Does nothing unless leading. `reason` is logged.
     void depose(Ms now, const char* reason);
     // Prevents campaigns from starting before `until`.
-    void stand_back(Ms until) { campaign_postponed_until_ = until; }
+    void postpone_campaign_until(Ms until) { campaign_postponed_until_ = until; }
 
     // Whether this controller was elected and has not been deposed since. The lease may have
     // expired nevertheless; see valid().
--- a/src/coordination/leadership/lease_relay.cpp
+++ b/src/coordination/leadership/lease_relay.cpp
@@ -155,7 +155,7 @@
         return false;
     }
     worker_heartbeat_at_ = now;
-    Ms confirmation_valid_for = std::min(kConfirmationValidFor, context_.cancel_span());
+    Ms confirmation_valid_for = std::min(kConfirmationValidFor, context_.heartbeat_answer_window());
     if (!active(now) || worker_status.fencing_token > fencing_token_ ||
         watcher_.confirmed_at() < 0 || now >= watcher_.confirmed_at() + confirmation_valid_for) {
         return false;
--- a/src/coordination/leadership/peer_monitor.cpp
+++ b/src/coordination/leadership/peer_monitor.cpp
@@ -72,7 +72,7 @@
     } else if (heartbeat.sequence <= process_.heartbeat.sequence) {
         return false;
     }
-    Ms started_by = now - (heartbeat.up_ms - heartbeat.up_ms / kDriftDivisor);
+    Ms started_by = now - (heartbeat.uptime_ms - heartbeat.uptime_ms / kDriftDivisor);
     process_.started_by =
         process_.started_by < 0 ? started_by : std::min(process_.started_by, started_by);
     process_.heartbeat = heartbeat;
--- a/src/coordination/leadership/peer_monitor.hpp
+++ b/src/coordination/leadership/peer_monitor.hpp
@@ -26,7 +26,7 @@
     Ms responses_covered_until(Ms confirmed_at, std::uint64_t replica_revision);
 
     // The newest heartbeat. All its fields are empty until the first heartbeat has been received.
-    const PeerHeartbeat& last() const { return process_.heartbeat; }
+    const PeerHeartbeat& newest_heartbeat() const { return process_.heartbeat; }
     // Whether a heartbeat was received within the last `span`.
     bool received_within(Ms now, Ms span) const {
         return received_at_ >= 0 && now - received_at_ <= span;
--- a/src/coordination/messages/inputs.hpp
+++ b/src/coordination/messages/inputs.hpp
@@ -122,15 +122,15 @@
 };
 
 // A heartbeat was received from another controller.
-struct PeerInput {
+struct IncomingPeerHeartbeat {
     std::size_t peer = 0;  // index in PlatformSettings::peers
-    PeerHeartbeat fact;
+    PeerHeartbeat peer_heartbeat;
 };
 // No message arrived before the time requested by the last WakeAt.
 struct TickInput {};
 
-using Input =
-    std::variant<TickInput, SubmitRequest, PollRequest, CancelRequest, ReadyRequest,
-                 HeartbeatRequest, StoreResponse, CloudResponse, WorkerResponse, PeerInput>;
+using Input = std::variant<TickInput, SubmitRequest, PollRequest, CancelRequest, ReadyRequest,
+                           HeartbeatRequest, StoreResponse, CloudResponse, WorkerResponse,
+                           IncomingPeerHeartbeat>;
 
 }  // namespace walkford
--- a/src/coordination/messages/outputs.hpp
+++ b/src/coordination/messages/outputs.hpp
@@ -116,9 +116,9 @@
 };
 
 // A heartbeat to another controller. Delivery is not guaranteed.
-struct PeerSend {
+struct OutgoingPeerHeartbeat {
     std::size_t peer = 0;  // index in PlatformSettings::peers
-    PeerHeartbeat fact;
+    PeerHeartbeat peer_heartbeat;
 };
 // When Controller::step must be called next if no input arrives earlier.
 struct WakeAt {
@@ -126,7 +126,7 @@
 };
 
 using Output = std::variant<UserResponse, HeartbeatResponse, StoreRequest, CloudRequest,
-                            WorkerRequest, PeerSend, WakeAt>;
+                            WorkerRequest, OutgoingPeerHeartbeat, WakeAt>;
 using Outputs = std::vector<Output>;
 
 }  // namespace walkford
--- a/src/coordination/messages/shared_messages.hpp
+++ b/src/coordination/messages/shared_messages.hpp
@@ -33,16 +33,16 @@
 // measured with the sender's clock.
 struct PeerHeartbeat {
     std::string controller;
-    std::string incarnation;               // of the controller process
-    std::uint64_t sequence = 0;            // increases with each heartbeat of the incarnation
-    std::uint64_t echo = 0;                // sequence of the last heartbeat from the receiver
-    std::string echo_incarnation;          // incarnation of the receiver that sent it
-    std::uint64_t fencing_token = 0;       // the highest known fencing token
-    std::string leader;                    // the controller holding that token; empty: unknown
-    std::int64_t store_quiet_ms = -1;      // since the store last served the sender; -1: never
-    std::uint64_t revision = 0;            // highest store revision in any response so far
-    std::int64_t up_ms = 0;                // since the sender's process started
-    std::int64_t heartbeat_quiet_ms = -1;  // since the last worker heartbeat; -1: none
+    std::string incarnation;                    // of the controller process
+    std::uint64_t sequence = 0;                 // increases with each heartbeat of the incarnation
+    std::uint64_t echo = 0;                     // sequence of the last heartbeat from the receiver
+    std::string echo_incarnation;               // incarnation of the receiver that sent it
+    std::uint64_t fencing_token = 0;            // the highest known fencing token
+    std::string leader;                         // the controller holding that token; empty: unknown
+    std::int64_t ms_since_store_response = -1;  // since the store last served the sender; -1: never
+    std::uint64_t revision = 0;                 // highest store revision in any response so far
+    std::int64_t uptime_ms = 0;                 // since the sender's process started
+    std::int64_t ms_since_worker_heartbeat = -1;  // since the last worker heartbeat; -1: none
 };
 
 }  // namespace walkford
--- a/src/coordination/placement/class_capacity.cpp
+++ b/src/coordination/placement/class_capacity.cpp
@@ -73,7 +73,7 @@
         if (before == 0) {
             continue;
         }
-        std::uint32_t after = slots_on(profile.spec, group, free - job.spec.each);
+        std::uint32_t after = slots_on(profile.spec, group, free - job.spec.task_resources);
         cost += static_cast<double>(before - after) / std::max(1.0, free_slots_[i]);
     }
     return cost;
@@ -92,7 +92,8 @@
         if (cluster.job_class_profiles[i].job_class == job.spec.job_class) {
             continue;
         }
-        double lost = slots_on(other, group, free) - slots_on(other, group, free - job.spec.each);
+        double lost =
+            slots_on(other, group, free) - slots_on(other, group, free - job.spec.task_resources);
         if (lost <= 0 || free_slots_[i] - lost >= slots_to_keep) {
             continue;
         }
--- a/src/coordination/placement/gang_placement.cpp
+++ b/src/coordination/placement/gang_placement.cpp
@@ -24,7 +24,7 @@
     if (job.assigned > 0 || job.waiting() < spec.tasks - job.done) {
         return false;
     }
-    return context_.cluster.quota_headroom(spec.team, spec.each) >= spec.tasks;
+    return context_.cluster.quota_headroom(spec.team, spec.task_resources) >= spec.tasks;
 }
 
 bool GangPlacement::place(Ms now, Id job_id) {
@@ -45,7 +45,7 @@
     job.retry_queue.clear();
     job.next_unassigned = job.spec.tasks;
     reservation_.release(job_id);
-    job.replace_by = -1;
+    job.replacement_deadline = -1;
     spdlog::debug("job {} attempt {}: all {} gang members assigned", job.spec.id, attempt,
                   job.spec.tasks);
     return true;
@@ -77,7 +77,8 @@
     const JobSpec& spec = cluster.jobs[job_id].spec;
     std::uint32_t slots = 0;
     for (const FreeCapacity::MachineGroup& group : round_.free_capacity().groups()) {
-        if ((zone != kNone && group.zone != zone) || !spec.each.fits_in(group.largest_free)) {
+        if ((zone != kNone && group.zone != zone) ||
+            !spec.task_resources.fits_in(group.largest_free)) {
             continue;
         }
         if (!FreeCapacity::allowed(spec, group) || !zone_failover_.admits(job_id, group.zone)) {
@@ -88,7 +89,7 @@
             if (slots >= spec.tasks) {
                 return slots;
             }
-            if (!spec.each.fits_in(capacity.free)) {
+            if (!spec.task_resources.fits_in(capacity.free)) {
                 continue;
             }
             Id reserved_for = cluster.machines[capacity.machine].reservation.job;
@@ -147,16 +148,17 @@
 void GangPlacement::replace_members(Ms now, Id job_id) {
     ClusterState& cluster = context_.cluster;
     Job& job = cluster.jobs[job_id];
-    if (job.spec.tasks <= 1 || !lifecycle_.unbegun(job_id)) {
+    if (job.spec.tasks <= 1 || !lifecycle_.no_task_begun(job_id)) {
         return;
     }
     // A new leader that finds a gang with missing members allows the same time to replace them.
-    if (job.replace_by < 0) {
-        job.replace_by = now + TaskLifecycle::kReplaceFor;
+    if (job.replacement_deadline < 0) {
+        job.replacement_deadline = now + TaskLifecycle::kReplacementTimeout;
     }
     std::uint32_t attempt = waiting_attempt(job_id);
     MachinePicker picker(round_, job_id, kNone);
-    while (!job.retry_queue.empty() && cluster.within_quota(job.spec.team, job.spec.each)) {
+    while (!job.retry_queue.empty() &&
+           cluster.within_quota(job.spec.team, job.spec.task_resources)) {
         Id machine = picker.next();
         if (machine == kNone) {
             break;
@@ -173,9 +175,9 @@
                       job.spec.id, index, attempt, cluster.machines[machine].name);
     }
     if (job.retry_queue.empty()) {
-        job.replace_by = -1;
-    } else if (now >= job.replace_by) {
-        job.replace_by = -1;
+        job.replacement_deadline = -1;
+    } else if (now >= job.replacement_deadline) {
+        job.replacement_deadline = -1;
         lifecycle_.stop_job(job_id, 0, now, true);
     }
 }
--- a/src/coordination/placement/gang_placement.hpp
+++ b/src/coordination/placement/gang_placement.hpp
@@ -22,7 +22,8 @@
     // the gang can't be placed now.
     bool place(Ms now, Id job);
     // Places members that were lost before their gang started, under the attempt of the members
-    // that wait for them. Restarts the gang if this takes longer than TaskLifecycle::kReplaceFor.
+    // that wait for them. Restarts the gang if this takes longer than
+    // TaskLifecycle::kReplacementTimeout.
     void replace_members(Ms now, Id job);
 
   private:
--- a/src/coordination/placement/gang_reservation.cpp
+++ b/src/coordination/placement/gang_reservation.cpp
@@ -101,7 +101,7 @@
     };
     add_free_slots(now);
     for (const TaskEnd& end : task_ends(now, job, machine_id, may_preempt)) {
-        free += cluster.jobs[end.task.job].spec.each;
+        free += cluster.jobs[end.task.job].spec.task_resources;
         add_free_slots(end.at);
     }
 }
@@ -117,7 +117,7 @@
         }
         // A gang that must be spread over zones can use a limited number of slots in each.
         Id zone = context_.cluster.machines[slot.machine].zone;
-        if (++slots_in_zone[zone] > spec.zone_most()) {
+        if (++slots_in_zone[zone] > spec.max_tasks_per_zone()) {
             continue;
         }
         plan.slots.push_back(slot);
@@ -255,7 +255,7 @@
                 break;
             }
             const Job& victim = cluster.jobs[end.task.job];
-            free += victim.spec.each;
+            free += victim.spec.task_resources;
             if (cluster.task(end.task).stopping || !may_preempt(victim, job)) {
                 continue;
             }
--- a/src/coordination/placement/gang_reservation.hpp
+++ b/src/coordination/placement/gang_reservation.hpp
@@ -63,8 +63,8 @@
     // Appends the machine's slots for members to `slots`, each with the time when it becomes free.
     void add_slots(Ms now, Id job, Id machine, const MayPreempt* may_preempt,
                    std::vector<Slot>& slots) const;
-    // Chooses the earliest slots for all members, with at most spec.zone_most() in a zone; nullopt
-    // if there are too few. Sorts `slots`.
+    // Chooses the earliest slots for all members, with at most spec.max_tasks_per_zone() in a zone;
+    // nullopt if there are too few. Sorts `slots`.
     std::optional<Plan> choose_slots(const JobSpec& spec, std::vector<Slot>& slots) const;
     // The tasks on the machine, ordered by when they end.
     std::vector<TaskEnd> task_ends(Ms now, Id job, Id machine, const MayPreempt* may_preempt) const;
--- a/src/coordination/placement/machine_picker.cpp
+++ b/src/coordination/placement/machine_picker.cpp
@@ -7,7 +7,7 @@
 MachinePicker::MachinePicker(PlacementRound& round, Id job_id, Id zone)
     : round_(round), job_(job_id) {
     const Job& job = round.job(job_id);
-    const Resources& task_resources = job.spec.each;
+    const Resources& task_resources = job.spec.task_resources;
     const std::vector<FreeCapacity::MachineGroup>& groups = round.free_capacity().groups();
     for (std::uint32_t i = 0; i < groups.size(); ++i) {
         const FreeCapacity::MachineGroup& group = groups[i];
--- a/src/coordination/placement/machine_scorer.cpp
+++ b/src/coordination/placement/machine_scorer.cpp
@@ -33,7 +33,7 @@
         return true;
     }
     auto tasks_in_zone = job.zones.find(group.zone);
-    return tasks_in_zone == job.zones.end() || tasks_in_zone->second < spec.zone_most();
+    return tasks_in_zone == job.zones.end() || tasks_in_zone->second < spec.max_tasks_per_zone();
 }
 
 bool MachineScorer::must_fetch_image(const JobSpec& spec, const Machine& machine) {
@@ -97,7 +97,7 @@
     const FreeCapacity::MachineCapacity& capacity) const {
     const Job& job = context_.cluster.jobs[job_id];
     const JobSpec& spec = job.spec;
-    if (!spec.each.fits_in(capacity.free) || !admits(job_id, group)) {
+    if (!spec.task_resources.fits_in(capacity.free) || !admits(job_id, group)) {
         return std::nullopt;
     }
     const Machine& machine = context_.cluster.machines[capacity.machine];
--- a/src/coordination/placement/placement_round.cpp
+++ b/src/coordination/placement/placement_round.cpp
@@ -20,7 +20,7 @@
     ClusterState& cluster = context_.cluster;
     const Machine& machine = cluster.machines[machine_id];
     const JobSpec& spec = cluster.jobs[task.job].spec;
-    class_capacity_.account_for_assignment(machine, spec.each);
+    class_capacity_.account_for_assignment(machine, spec.task_resources);
     EvacuationReserve::Place place{machine.machine_type, machine.zone, machine.spot,
                                    cluster.machine_type(machine.machine_type)->size - machine.used};
     bool must_fetch = MachineScorer::must_fetch_image(spec, machine);
--- a/src/coordination/placement/placer.cpp
+++ b/src/coordination/placement/placer.cpp
@@ -39,14 +39,14 @@
       preemption_(context, lifecycle, round_.class_capacity()) {}
 
 bool Placer::round_due(Ms now) {
-    if (!context_.place_now && now < next_round_at_) {
+    if (!context_.placement_requested && now < next_round_at_) {
         return false;
     }
     if (now < last_round_at_ + kMinRoundSpacing) {
         return false;
     }
     last_round_at_ = now;
-    context_.place_now = false;
+    context_.placement_requested = false;
     next_round_at_ = now + kRoundInterval;
     return !context_.cluster.machine_types().empty();
 }
@@ -116,11 +116,11 @@
         bool budget_spent = round_.examined_machines() > kMaxExaminedMachines ||
                             context_.controller.stopwatch() >= deadline;
         if (budget_spent && cursor_ < order_.size()) {
-            context_.place_now = true;
+            context_.placement_requested = true;
             break;
         }
     }
-    context_.work.placing = round_.examined_machines();
+    context_.candidate_counts.placement_candidates = round_.examined_machines();
     if (cursor_ >= order_.size()) {
         ++passes_;
     }
@@ -158,21 +158,21 @@
     const JobSpec& spec = cluster.jobs[job_id].spec;
     QuotaBlock& block = quota_blocks_[spec.team];
     int priority = static_cast<int>(spec.priority);
-    if ((spec.each.cpus > 0 && priority <= block.cpus) ||
-        (spec.each.gpus > 0 && priority <= block.gpus)) {
+    if ((spec.task_resources.cpus > 0 && priority <= block.cpus) ||
+        (spec.task_resources.gpus > 0 && priority <= block.gpus)) {
         return true;
     }
     std::uint32_t needed = spec.gang() ? spec.tasks : 1;
-    if (cluster.quota_headroom(spec.team, spec.each) >= needed) {
+    if (cluster.quota_headroom(spec.team, spec.task_resources) >= needed) {
         return false;
     }
     if (zone_failover_.waits_for_zone(job_id)) {
         return true;  // the job can't start anyway, so it must not block others
     }
-    if (cluster.quota_headroom(spec.team, {spec.each.cpus, 0, 0}) < needed) {
+    if (cluster.quota_headroom(spec.team, {spec.task_resources.cpus, 0, 0}) < needed) {
         block.cpus = std::max(block.cpus, priority);
     }
-    if (cluster.quota_headroom(spec.team, {0, spec.each.gpus, 0}) < needed) {
+    if (cluster.quota_headroom(spec.team, {0, spec.task_resources.gpus, 0}) < needed) {
         block.gpus = std::max(block.gpus, priority);
     }
     return true;
@@ -183,7 +183,7 @@
     Job& job = cluster.jobs[job_id];
     MachinePicker picker(round_, job_id, kNone);
     for (std::uint32_t placed = 0; placed < kMaxTasksPerJob && job.waiting() > 0; ++placed) {
-        if (!cluster.within_quota(job.spec.team, job.spec.each)) {
+        if (!cluster.within_quota(job.spec.team, job.spec.task_resources)) {
             break;
         }
         Id machine = picker.next();
--- a/src/coordination/placement/placer.hpp
+++ b/src/coordination/placement/placer.hpp
@@ -26,7 +26,7 @@
     void round(Ms now, const WorkerManager& workers);
 
     // The number of completed passes over all waiting jobs.
-    std::uint64_t rounds() const { return passes_; }
+    std::uint64_t completed_passes() const { return passes_; }
 
   private:
     // For a team at its quota: the highest priority of a job that waits for more quota of each
--- a/src/coordination/placement/preemption.cpp
+++ b/src/coordination/placement/preemption.cpp
@@ -104,10 +104,10 @@
     if (now < job.waiting_since + to_ms(context_.controller.operator_settings.preempt_after_s)) {
         return false;
     }
-    if (spec.starts_together() || !cluster.within_quota(spec.team, spec.each)) {
+    if (spec.starts_together() || !cluster.within_quota(spec.team, spec.task_resources)) {
         return false;
     }
-    bool guaranteed = cluster.within_guaranteed_share(spec.team, spec.each);
+    bool guaranteed = cluster.within_guaranteed_share(spec.team, spec.task_resources);
     bool any_victim =
         std::any_of(preemptible_jobs_.begin(), preemptible_jobs_.end(), [&](const auto& entry) {
             return may_be_victim(now, cluster.jobs[entry.second], job, guaranteed);
@@ -162,7 +162,7 @@
         return false;
     }
     if (spec.spread && job.zones.count(machine.zone) &&
-        job.zones.at(machine.zone) >= spec.zone_most()) {
+        job.zones.at(machine.zone) >= spec.max_tasks_per_zone()) {
         return false;
     }
     return job.failed_on.count(machine_id) == 0;
@@ -213,7 +213,7 @@
     Plan plan;
     std::map<Id, Resources> preempted_by_team;  // by team; none may fall below its guaranteed share
     for (const Victim& candidate : victims) {
-        if (job.spec.each.fits_in(free)) {
+        if (job.spec.task_resources.fits_in(free)) {
             break;
         }
         const JobSpec& victim = cluster.jobs[candidate.task.job].spec;
@@ -222,12 +222,12 @@
             cluster.within_guaranteed_share(victim.team, Resources{} - preempted_of_team)) {
             continue;
         }
-        preempted_of_team += victim.each;
-        free += victim.each;
+        preempted_of_team += victim.task_resources;
+        free += victim.task_resources;
         plan.cost += candidate.cost;
         plan.victims.push_back(candidate.task);
     }
-    if (!job.spec.each.fits_in(free)) {
+    if (!job.spec.task_resources.fits_in(free)) {
         return {};
     }
     plan.machine = machine_id;
@@ -237,7 +237,8 @@
 bool Preemption::preempt_for(Ms now, Id job_id, const std::vector<Id>& schedulable) {
     const ClusterState& cluster = context_.cluster;
     const Job& job = cluster.jobs[job_id];
-    Request request{job_id, cluster.within_guaranteed_share(job.spec.team, job.spec.each), {}};
+    Request request{
+        job_id, cluster.within_guaranteed_share(job.spec.team, job.spec.task_resources), {}};
     Plan best;
     for (Id machine : schedulable) {
         if (!may_host(job, machine)) {
--- a/src/coordination/placement/waiting_order.cpp
+++ b/src/coordination/placement/waiting_order.cpp
@@ -42,7 +42,7 @@
             continue;
         }
         int priority = aged_priority(job, zone_failover.waits_since(id), now, priority_aging_s);
-        bool guaranteed = cluster.within_guaranteed_share(job.spec.team, job.spec.each);
+        bool guaranteed = cluster.within_guaranteed_share(job.spec.team, job.spec.task_resources);
         waiting.push_back({-priority, zone_failover.evacuation_position(id), guaranteed ? 0 : 1,
                            job.start_deadline, job.created_version, id});
     }
--- a/src/coordination/scaling/scaler.cpp
+++ b/src/coordination/scaling/scaler.cpp
@@ -24,13 +24,13 @@
       trial_packing_(context.cluster) {}
 
 void Scaler::tick(Ms now, const WorkerManager& workers, CloudManager& cloud) {
-    if (now < next_tick_at_ && !context_.scale_out_now) {
+    if (now < next_tick_at_ && !context_.scale_out_requested) {
         return;
     }
     next_tick_at_ = now + kTickInterval;
-    bool skip_interval = context_.scale_out_now;
-    context_.scale_out_now = false;
-    if (!cloud.known() || context_.cluster.machine_types().empty()) {
+    bool skip_interval = context_.scale_out_requested;
+    context_.scale_out_requested = false;
+    if (!cloud.registry_initialized() || context_.cluster.machine_types().empty()) {
         return;
     }
     FleetMeasurement& fleet = meter_.measure(now, workers, cloud);
@@ -70,7 +70,7 @@
             unplaced_.push_back(std::move(demand));
         }
     }
-    context_.work.packing = trial_packing_.examined_bins();
+    context_.candidate_counts.packing_candidates = trial_packing_.examined_bins();
 }
 
 void Scaler::pack_pending(const FleetMeasurement& fleet) {
@@ -130,7 +130,7 @@
     ZoneMachineCounts& zone_machine_counts = fleet.zone_machine_counts[candidate.zone];
     count = std::min(
         count, zone_failover_.scale_out_allowance(candidate.zone, zone_machine_counts.reporting,
-                                                  zone_machine_counts.on_their_way, for_job));
+                                                  zone_machine_counts.provisioning, for_job));
     bool permanent = !cloud.first_scale_out_done() && settings.permanent_first > 0;
     if (permanent) {
         count = std::min(count, settings.permanent_first);
@@ -139,7 +139,7 @@
                                               candidate.spot, count, permanent, reason)) {
         return 0;
     }
-    zone_machine_counts.on_their_way += count;
+    zone_machine_counts.provisioning += count;
     return count;
 }
 
--- a/src/coordination/scaling/trial_packing.cpp
+++ b/src/coordination/scaling/trial_packing.cpp
@@ -19,8 +19,9 @@
 bool at_least_as_hard_to_place(const JobSpec& spec, const JobSpec& other) {
     return other.any_machine_type == spec.any_machine_type &&
            other.machine_types == spec.machine_types && other.zone == spec.zone &&
-           other.spot == spec.spot && other.each.cpus <= spec.each.cpus &&
-           other.each.gpus <= spec.each.gpus && other.each.ram <= spec.each.ram;
+           other.spot == spec.spot && other.task_resources.cpus <= spec.task_resources.cpus &&
+           other.task_resources.gpus <= spec.task_resources.gpus &&
+           other.task_resources.ram <= spec.task_resources.ram;
 }
 }  // namespace
 
@@ -31,7 +32,7 @@
     // in a full fleet these are most of the bins.
     smallest_task_ = {1e18, 1e18, 1e18};
     for (const PendingDemand& demand : demands) {
-        const Resources& each = cluster_.jobs[demand.job].spec.each;
+        const Resources& each = cluster_.jobs[demand.job].spec.task_resources;
         smallest_task_ = {std::min(smallest_task_.cpus, each.cpus),
                           std::min(smallest_task_.gpus, each.gpus),
                           std::min(smallest_task_.ram, each.ram)};
@@ -111,7 +112,8 @@
             continue;
         }
         if (spec.spread) {
-            limit = std::min(limit, spec.zone_most() - std::min(present, spec.zone_most()));
+            limit = std::min(
+                limit, spec.max_tasks_per_zone() - std::min(present, spec.max_tasks_per_zone()));
         }
         if (limit == 0) {
             continue;
@@ -146,8 +148,8 @@
             fill_bins(spec, zone.zone, taken);
         }
         std::uint32_t in_zone = tasks_in_zone(job, zone.zone) + taken;
-        if (spec.zone_most() > in_zone) {
-            demand.shortfalls.push_back({zone.zone, spec.zone_most() - in_zone});
+        if (spec.max_tasks_per_zone() > in_zone) {
+            demand.shortfalls.push_back({zone.zone, spec.max_tasks_per_zone() - in_zone});
         }
     }
     for (ZoneShortfall& shortfall : demand.shortfalls) {
@@ -169,7 +171,7 @@
     for (std::uint32_t index : open_bins_) {
         ++examined_bins_;
         const Bin& bin = bins_[index];
-        if (bin.zone != zone || !spec.each.fits_in(bin.free)) {
+        if (bin.zone != zone || !spec.task_resources.fits_in(bin.free)) {
             continue;
         }
         slots += ClusterState::slots(spec, bin.machine_type, bin.zone, bin.spot, bin.free);
@@ -187,7 +189,7 @@
         }
         ++examined_bins_;
         Bin& bin = bins_[index];
-        if ((zone != kNone && bin.zone != zone) || !spec.each.fits_in(bin.free)) {
+        if ((zone != kNone && bin.zone != zone) || !spec.task_resources.fits_in(bin.free)) {
             continue;
         }
         std::uint32_t packed = std::min(
@@ -195,7 +197,7 @@
         if (packed == 0) {
             continue;
         }
-        bin.free -= spec.each * packed;
+        bin.free -= spec.task_resources * packed;
         bin.used = true;
         count -= packed;
         full_bins_ += !smallest_task_.fits_in(bin.free);
--- a/src/coordination/scaling/utilization.cpp
+++ b/src/coordination/scaling/utilization.cpp
@@ -119,7 +119,7 @@
         bool schedulable = workers.schedulable(machine, now);
         ZoneMachineCounts& zone_machine_counts = fleet_.zone_machine_counts[machine.zone];
         zone_machine_counts.reporting += schedulable;
-        zone_machine_counts.on_their_way += !machine.worker.reported && !machine.releasing;
+        zone_machine_counts.provisioning += !machine.worker.reported && !machine.releasing;
         if (!counts_as_capacity(machine, *machine_type, schedulable, many_silent, now)) {
             // Tasks still allocated to this machine count as allocated, so their resources also
             // count as capacity.
@@ -139,7 +139,7 @@
             continue;
         }
         fleet_.utilization.capacity += machine_type->size * request.count;
-        fleet_.zone_machine_counts[request.zone].on_their_way += request.count;
+        fleet_.zone_machine_counts[request.zone].provisioning += request.count;
         for (std::uint32_t i = 0; i < request.count; ++i) {
             fleet_.bins.push_back({machine_type->size, request.machine_type, request.zone, kNone,
                                    request.spot, false});
@@ -174,8 +174,8 @@
         if (!fits_some_machine_type(job.spec)) {
             continue;
         }
-        team_demand.admitted += job.spec.each * count;
-        fleet_.utilization.pending += job.spec.each * count;
+        team_demand.admitted += job.spec.task_resources * count;
+        fleet_.utilization.pending += job.spec.task_resources * count;
         fleet_.demands.push_back({id, count});
         tasks += count;
         if (tasks > kMaxPendingTasks) {
@@ -191,8 +191,8 @@
     const JobSpec& spec = job.spec;
     const Resources& quota = context_.cluster.team(spec.team)->quota;
     Resources used = context_.cluster.team_used(spec.team) + team_demand.admitted;
-    double admitted = std::min(tasks_within_quota(quota.cpus, used.cpus, spec.each.cpus),
-                               tasks_within_quota(quota.gpus, used.gpus, spec.each.gpus));
+    double admitted = std::min(tasks_within_quota(quota.cpus, used.cpus, spec.task_resources.cpus),
+                               tasks_within_quota(quota.gpus, used.gpus, spec.task_resources.gpus));
     std::uint32_t waiting = job.waiting();
     if (admitted < (spec.gang() ? waiting : 1)) {
         return 0;
@@ -205,7 +205,7 @@
     return std::any_of(machine_types.begin(), machine_types.end(),
                        [&](const MachineType& machine_type) {
                            return spec.allows_machine_type(machine_type.id) &&
-                                  spec.each.fits_in(machine_type.size);
+                                  spec.task_resources.fits_in(machine_type.size);
                        });
 }
 
--- a/src/coordination/scaling/utilization.hpp
+++ b/src/coordination/scaling/utilization.hpp
@@ -31,7 +31,7 @@
 // The machines of one zone that scale-out limits depend on.
 struct ZoneMachineCounts {
     std::uint32_t reporting = 0;     // schedulable
-    std::uint32_t on_their_way = 0;  // requested or booting: they have not reported yet
+    std::uint32_t provisioning = 0;  // requested or booting: they have not reported yet
 };
 
 // The result of a measurement. The scaler adds the machines that it requests in the same tick.
--- a/src/coordination/store/store_client.cpp
+++ b/src/coordination/store/store_client.cpp
@@ -39,14 +39,14 @@
     out.emplace_back(std::move(request));
 }
 
-void StoreClient::get(const std::string& key, Then then, Outputs& out) {
+void StoreClient::get(const std::string& key, ResponseCallback then, Outputs& out) {
     StoreRequest request;
     request.operation = StoreOperation::get;
     request.key = key;
     send(std::move(request), {std::move(then)}, out);
 }
 
-void StoreClient::list(const std::string& prefix, const std::string& after, Then then,
+void StoreClient::list(const std::string& prefix, const std::string& after, ResponseCallback then,
                        Outputs& out) {
     StoreRequest request;
     request.operation = StoreOperation::list;
@@ -55,7 +55,7 @@
     send(std::move(request), {std::move(then)}, out);
 }
 
-void StoreClient::changes(std::uint64_t after, Ms wait, Then then, Outputs& out) {
+void StoreClient::changes(std::uint64_t after, Ms wait, ResponseCallback then, Outputs& out) {
     StoreRequest request;
     request.operation = StoreOperation::changes;
     request.key = keys::kRoot;
@@ -64,14 +64,14 @@
     send(std::move(request), {std::move(then)}, out);
 }
 
-void StoreClient::lease_grant(Ms ttl, Then then, Outputs& out) {
+void StoreClient::lease_grant(Ms ttl, ResponseCallback then, Outputs& out) {
     StoreRequest request;
     request.operation = StoreOperation::lease_grant;
     request.ttl_ms = ttl;
     send(std::move(request), {std::move(then)}, out);
 }
 
-void StoreClient::lease_renew(std::uint64_t lease, Then then, Outputs& out) {
+void StoreClient::lease_renew(std::uint64_t lease, ResponseCallback then, Outputs& out) {
     StoreRequest request;
     request.operation = StoreOperation::lease_renew;
     request.lease = lease;
@@ -85,7 +85,8 @@
     send(std::move(request), {[](Ms, const StoreResponse&) {}}, out);
 }
 
-void StoreClient::transaction(RequestPriority priority, Transaction transaction, Then then) {
+void StoreClient::transaction(RequestPriority priority, Transaction transaction,
+                              ResponseCallback then) {
     queues_[static_cast<std::size_t>(priority)].push_back(
         {std::move(transaction), std::move(then)});
 }
@@ -150,7 +151,7 @@
         {std::move(sent.transaction), std::move(pending.then)});
 }
 
-void StoreClient::pump(Ms now, Outputs& out) {
+void StoreClient::send_queued(Ms now, Outputs& out) {
     double rate = write_rate();
     double burst = std::max(kMinBurst, rate * kBurstSeconds);
     tokens_ = std::min(burst, tokens_ + rate * static_cast<double>(now - refilled_at_) / 1000.0);
--- a/src/coordination/store/store_client.hpp
+++ b/src/coordination/store/store_client.hpp
@@ -34,7 +34,7 @@
 class StoreClient {
   public:
     // Called with the time of the response, and the response.
-    using Then = std::function<void(Ms, const StoreResponse&)>;
+    using ResponseCallback = std::function<void(Ms, const StoreResponse&)>;
 
     // `next`: the limits that will replace `current` at an unannounced moment. `controllers`: how
     // many share the allowance, this one included.
@@ -42,25 +42,26 @@
                 std::uint32_t controllers);
 
     // Reads one key. Like all requests but transactions, it is appended to `out` at once.
-    void get(const std::string& key, Then then, Outputs& out);
+    void get(const std::string& key, ResponseCallback then, Outputs& out);
     // Reads a page of the keys with that prefix that sort behind `after`.
-    void list(const std::string& prefix, const std::string& after, Then then, Outputs& out);
+    void list(const std::string& prefix, const std::string& after, ResponseCallback then,
+              Outputs& out);
     // Reads the changes behind revision `after`; waits for one up to `wait` if there is none.
-    void changes(std::uint64_t after, Ms wait, Then then, Outputs& out);
+    void changes(std::uint64_t after, Ms wait, ResponseCallback then, Outputs& out);
     // Requests a lease that expires `ttl` after it was last renewed.
-    void lease_grant(Ms ttl, Then then, Outputs& out);
+    void lease_grant(Ms ttl, ResponseCallback then, Outputs& out);
     // Renews a lease; not_found once it has expired.
-    void lease_renew(std::uint64_t lease, Then then, Outputs& out);
+    void lease_renew(std::uint64_t lease, ResponseCallback then, Outputs& out);
     // Ends a lease, and with it all keys written on it. Nobody waits for the response.
     void lease_revoke(std::uint64_t lease, Outputs& out);
-    // Queues a compare-and-swap; pump() sends it when the allowance admits it. One that is refused
-    // for the rate is sent again, without the callback seeing it.
-    void transaction(RequestPriority priority, Transaction transaction, Then then);
+    // Queues a compare-and-swap; send_queued() sends it when the allowance admits it. One that is
+    // refused for the rate is sent again, without the callback seeing it.
+    void transaction(RequestPriority priority, Transaction transaction, ResponseCallback then);
 
     // Takes in a response; one to an unknown call is ignored.
     void reply(Ms now, const StoreResponse& response);
     // Appends to `out` as many of the queued transactions as the allowance admits.
-    void pump(Ms now, Outputs& out);
+    void send_queued(Ms now, Outputs& out);
     // The leader has a larger share of the allowance.
     void set_leading(bool leading) { leading_ = leading; }
 
@@ -83,12 +84,12 @@
     };
     // A request without response yet.
     struct Pending {
-        Then then = {};
+        ResponseCallback then = {};
         std::optional<SentTransaction> transaction = std::nullopt;
     };
     struct QueuedTransaction {
         Transaction transaction;
-        Then then;
+        ResponseCallback then;
     };
     void send(StoreRequest request, Pending pending, Outputs& out);
     void send_transaction(RequestPriority priority, Outputs& out);
--- a/src/coordination/store/store_replica.cpp
+++ b/src/coordination/store/store_replica.cpp
@@ -87,7 +87,7 @@
     if (starts_with(key, keys::kJobs)) {
         return apply_job(row);
     }
-    if (starts_with(key, keys::kEnded)) {
+    if (starts_with(key, keys::kFinishedJobs)) {
         return apply_ended(row);
     }
     if (starts_with(key, keys::kRelays)) {
@@ -155,11 +155,11 @@
     if (!row.value) {
         return false;
     }
-    auto record = decode_ended(*row.value);
+    auto record = decode_finished_job(*row.value);
     if (!record) {
         return false;
     }
-    remember_ended(row.key.substr(keys::kEnded.size()), *record);
+    remember_ended(row.key.substr(keys::kFinishedJobs.size()), *record);
     return true;
 }
 
@@ -301,7 +301,7 @@
     return entry == placement_records_.end() ? nullptr : &entry->second;
 }
 
-std::optional<EndedRecord> StoreReplica::ended(const std::string& job_id) const {
+std::optional<FinishedJobRecord> StoreReplica::ended(const std::string& job_id) const {
     auto entry = ended_.find(job_id);
     if (entry == ended_.end()) {
         return std::nullopt;
@@ -309,7 +309,7 @@
     return entry->second;
 }
 
-void StoreReplica::remember_ended(const std::string& job_id, const EndedRecord& record) {
+void StoreReplica::remember_ended(const std::string& job_id, const FinishedJobRecord& record) {
     if (!ended_.emplace(job_id, record).second) {
         return;  // an ended job never changes again
     }
--- a/src/coordination/store/store_replica.hpp
+++ b/src/coordination/store/store_replica.hpp
@@ -46,9 +46,9 @@
         return placement_records_;
     }
     // The record of a job that ended, as far as it is in memory: the most recent ones are.
-    std::optional<EndedRecord> ended(const std::string& job_id) const;
+    std::optional<FinishedJobRecord> ended(const std::string& job_id) const;
     // Remembers the record of an ended job that was read from the store.
-    void remember_ended(const std::string& job_id, const EndedRecord& record);
+    void remember_ended(const std::string& job_id, const FinishedJobRecord& record);
 
     // How many tasks of a job are done and running.
     struct Counts {
@@ -105,7 +105,7 @@
     // Ended jobs need not stay in memory: the most recent ones do, the rest are read when asked
     // for.
     static constexpr std::size_t kMaxEndedJobs = 8000;
-    std::unordered_map<std::string, EndedRecord> ended_;
+    std::unordered_map<std::string, FinishedJobRecord> ended_;
     std::list<std::string> ended_order_;
     static constexpr std::size_t kMaxDeletions = 4096;
     std::unordered_map<std::string, std::uint64_t> deletions_;  // key -> version of its deletion
--- a/src/coordination/store/store_watcher.cpp
+++ b/src/coordination/store/store_watcher.cpp
@@ -14,7 +14,7 @@
     static const std::array<std::string, 9> prefixes{
         keys::kLeader,       keys::kRegistry,      keys::kRegistryParts,
         keys::kMachineTypes, keys::kAnnouncements, keys::kRelays,
-        keys::kZoneRecords,  keys::kJobs,          keys::kTasks};
+        keys::kZoneRecords,  keys::kJobs,          keys::kPlacementRecords};
     return prefixes;
 }
 constexpr Ms kWatchTimeout = 20000;
--- a/src/coordination/workers/command_builder.cpp
+++ b/src/coordination/workers/command_builder.cpp
@@ -1,7 +1,7 @@
 #include "coordination/workers/command_builder.hpp"
 
-#include "coordination/workers/answer_acknowledgement.hpp"
 #include "coordination/workers/reported_task.hpp"
+#include "coordination/workers/response_acknowledgement.hpp"
 
 namespace walkford {
 
@@ -22,7 +22,7 @@
         Task& task = cluster.task(ref);
         if (task.stopping && task.phase != TaskPhase::assigned) {
             commands.push_back({WorkerCommandType::stop, cluster.jobs[ref.job].spec.id, ref.task,
-                                task.attempt, task.stop_grace});
+                                task.attempt, task.stop_grace_s});
             task.stop_sent_at = now;
         } else if (machine_may_start && task_may_start(ref, task)) {
             add_run(now, ref, status, commands);
@@ -58,8 +58,9 @@
 }
 
 bool CommandBuilder::task_may_start(TaskRef ref, const Task& task) const {
-    return task.phase == TaskPhase::assigned && !task.stopping && !task.inherited &&
-           !context_.cluster.jobs[ref.job].cancelled && task.durable_here();
+    return task.phase == TaskPhase::assigned && !task.stopping &&
+           !task.assigned_by_earlier_leader && !context_.cluster.jobs[ref.job].cancelled &&
+           task.placement_durable();
 }
 
 void CommandBuilder::add_run(Ms now, TaskRef ref, const WorkerStatus& status,
@@ -67,10 +68,10 @@
     Task& task = context_.cluster.task(ref);
     const std::string& job_name = context_.cluster.jobs[ref.job].spec.id;
     // A worker accepts the same attempt of a task only once, unless the attempt was cleared.
-    if (task.rerun) {
+    if (task.rerun_in_place) {
         commands.push_back({WorkerCommandType::clear, job_name, ref.task, task.attempt, 0});
     }
-    task.rerun = false;
+    task.rerun_in_place = false;
     commands.push_back({WorkerCommandType::run, job_name, ref.task, task.attempt, 0});
     task.phase = TaskPhase::dispatched;
     task.dispatch_sequence = status.sequence;
--- a/src/coordination/workers/direct_calls.cpp
+++ b/src/coordination/workers/direct_calls.cpp
@@ -24,7 +24,7 @@
     bool unseen = !worker.fencing_token_seen &&
                   now > std::max(context_.elected_at, worker.last_heartbeat) + probe_after &&
                   (!machine.tasks.empty() || machine.listing.state == CloudMachineState::running);
-    if (unseen && !worker.probe_open && now >= worker.probe_at) {
+    if (unseen && !worker.probe_in_flight && now >= worker.probe_at) {
         send(now, machine_id, {});
     }
 }
@@ -39,11 +39,11 @@
             task.stop_sent_at >= 0 && now < task.stop_sent_at + kStopResendInterval;
         if (task.stopping && task.phase != TaskPhase::assigned && !sent_recently) {
             stops.push_back({WorkerCommandType::stop, cluster.jobs[ref.job].spec.id, ref.task,
-                             task.attempt, task.stop_grace});
+                             task.attempt, task.stop_grace_s});
         }
     }
     Ms earliest_call = machine.worker.probe_at - kProbeInterval + kMinCallInterval;
-    if (stops.empty() || !machine.worker.reported || machine.worker.probe_open ||
+    if (stops.empty() || !machine.worker.reported || machine.worker.probe_in_flight ||
         now < earliest_call) {
         return;
     }
@@ -55,10 +55,10 @@
 
 void DirectCalls::send(Ms now, Id machine_id, std::vector<WorkerCommand> commands) {
     Machine& machine = context_.cluster.machines[machine_id];
-    if (machine.address.empty() || machine.worker.probe_open) {
+    if (machine.address.empty() || machine.worker.probe_in_flight) {
         return;
     }
-    machine.worker.probe_open = true;
+    machine.worker.probe_in_flight = true;
     machine.worker.probe_at = now + kProbeInterval;
     WorkerRequest request;
     request.address = machine.address;
@@ -74,7 +74,7 @@
 
 void DirectCalls::on_response(Ms now, Id machine_id, const WorkerResponse& response) {
     Machine& machine = context_.cluster.machines[machine_id];
-    machine.worker.probe_open = false;
+    machine.worker.probe_in_flight = false;
     if (machine.terminated || !response.worker_status ||
         response.worker_status->machine != machine.name) {
         return;
--- a/src/coordination/workers/heartbeat_responder.cpp
+++ b/src/coordination/workers/heartbeat_responder.cpp
@@ -15,7 +15,9 @@
 constexpr std::size_t kSocketsPerDeferredHeartbeat = 4;
 
 // Whether the task was placed by this leader and has not been commanded to run yet.
-bool newly_placed(const Task& task) { return task.phase == TaskPhase::assigned && !task.inherited; }
+bool newly_placed(const Task& task) {
+    return task.phase == TaskPhase::assigned && !task.assigned_by_earlier_leader;
+}
 }  // namespace
 
 HeartbeatResponder::HeartbeatResponder(LeaderContext& context)
@@ -142,7 +144,7 @@
 bool HeartbeatResponder::has_non_durable_placement(const Machine& machine) const {
     return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](TaskRef ref) {
         const Task& task = context_.cluster.task(ref);
-        return newly_placed(task) && !task.durable_here();
+        return newly_placed(task) && !task.placement_durable();
     });
 }
 
@@ -154,7 +156,7 @@
         if (!newly_placed(task)) {
             continue;
         }
-        if (!task.durable_here()) {
+        if (!task.placement_durable()) {
             return false;
         }
         has_placement = true;
--- a/src/coordination/workers/lease_expiry.cpp
+++ b/src/coordination/workers/lease_expiry.cpp
@@ -33,7 +33,7 @@
         std::max({machine.worker.lease_renewed_at, machine.worker.fencing_token_seen_at,
                   relays_[machine.zone].changed_at});
     Ms lease_end = last_renewal + lease;
-    return now > lease_end && context_.view_confirmed_until >= lease_end;
+    return now > lease_end && context_.replica_confirmed_until >= lease_end;
 }
 
 }  // namespace walkford
--- a/src/coordination/workers/answer_acknowledgement.cpp
+++ b/src/coordination/workers/response_acknowledgement.cpp
@@ -1,4 +1,4 @@
-#include "coordination/workers/answer_acknowledgement.hpp"
+#include "coordination/workers/response_acknowledgement.hpp"
 
 #include <spdlog/spdlog.h>
 
--- a/src/coordination/workers/task_exits.cpp
+++ b/src/coordination/workers/task_exits.cpp
@@ -24,7 +24,7 @@
     ClusterState& cluster = context_.cluster;
     const Job& job = cluster.jobs[ref.job];
     Task& task = cluster.task(ref);
-    context_.place_now = true;
+    context_.placement_requested = true;
     if (reported.cause == exit_cause::kDone) {
         if (job.spec.service()) {
             service_restarts_.replica_exited(now, ref, reported);
@@ -64,16 +64,16 @@
 
 bool TaskExits::waits_for_gang(TaskRef ref, const ReportedTask& reported) const {
     return reported.cause == exit_cause::kGangIncomplete &&
-           !context_.cluster.jobs[ref.job].cancelled && lifecycle_.unbegun(ref.job);
+           !context_.cluster.jobs[ref.job].cancelled && lifecycle_.no_task_begun(ref.job);
 }
 
 // The other gang members are still fetching their image, which takes longer than a gang waits if
 // the image is large. The task keeps its machine, which has the image already, and waits again.
 void TaskExits::rerun_in_place(Ms now, Task& task) {
-    task.rerun = true;
+    task.rerun_in_place = true;
     task.phase = TaskPhase::assigned;
     task.state = TaskState::unknown;
-    task.inherited = false;
+    task.assigned_by_earlier_leader = false;
     task.since = now;
 }
 
--- a/src/coordination/workers/worker_manager.cpp
+++ b/src/coordination/workers/worker_manager.cpp
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include "coordination/workers/answer_acknowledgement.hpp"
+#include "coordination/workers/response_acknowledgement.hpp"
 
 namespace walkford {
 
@@ -106,7 +106,7 @@
     double silent_s = static_cast<double>(now - worker.last_heartbeat) / 1000.0;
     spdlog::info("machine {} sent no heartbeat for {:.1f} s: lease expired, {} tasks lost",
                  machine.name, silent_s, machine.tasks.size());
-    lifecycle_.machine_emptied(machine_id, now, "lease expired");
+    lifecycle_.requeue_machine_tasks(machine_id, now, "lease expired");
 }
 
 // Stops the tasks of a machine that the cloud is about to reclaim, as late as they can still save a
--- a/src/coordination/workers/worker_status_handler.cpp
+++ b/src/coordination/workers/worker_status_handler.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <tuple>
 
-#include "coordination/workers/answer_acknowledgement.hpp"
 #include "coordination/workers/reported_task.hpp"
+#include "coordination/workers/response_acknowledgement.hpp"
 
 namespace walkford {
 
@@ -54,14 +54,14 @@
     WorkerState& worker = machine.worker;
     if (!worker.reported) {
         spdlog::debug("machine {} sent its first status to this leader", machine.name);
-        context_.place_now = true;
+        context_.placement_requested = true;
     }
     worker.incarnation = update.status.incarnation;
     worker.sequence = update.status.sequence;
     worker.reported = true;
     if (worker.lease_expired) {
         worker.lease_expired = false;
-        context_.place_now = true;
+        context_.placement_requested = true;
         spdlog::info("machine {} sent a status again after its lease had expired", machine.name);
     }
     if (update.under_our_token && !worker.fencing_token_seen) {
@@ -105,7 +105,7 @@
 void WorkerStatusHandler::apply_reported_task(const StatusUpdate& update, TaskRef ref,
                                               const ReportedTask& reported) {
     Task& task = context_.cluster.task(ref);
-    if (task.phase == TaskPhase::dispatched && update.under_our_token && !task.rerun) {
+    if (task.phase == TaskPhase::dispatched && update.under_our_token && !task.rerun_in_place) {
         record_received_response(context_.cluster.machines[update.machine_id]);
     }
     bool exited = reported.state == TaskState::exited;
@@ -116,8 +116,8 @@
     if (gang_was_incomplete && !update.under_our_token) {
         return;
     }
-    task.inherited = false;
-    if (gang_was_incomplete && task.rerun) {
+    task.assigned_by_earlier_leader = false;
+    if (gang_was_incomplete && task.rerun_in_place) {
         return;  // the earlier exit: the worker has not yet received the commands to run it again
     }
     if (exited) {
@@ -208,14 +208,14 @@
 // report: it was never started, or ended with an older incarnation of the worker.
 void WorkerStatusHandler::reconcile_assigned_task(const StatusUpdate& update, TaskRef ref) {
     Task& task = context_.cluster.task(ref);
-    if (!task.inherited || update.source != StatusSource::heartbeat) {
+    if (!task.assigned_by_earlier_leader || update.source != StatusSource::heartbeat) {
         return;
     }
     if (task.stopping || context_.cluster.jobs[ref.job].spec.starts_together()) {
         lifecycle_.task_lost(ref, update.now,
                              "not reported by its worker after a change of leader");
     } else {
-        task.inherited = false;
+        task.assigned_by_earlier_leader = false;
     }
 }
 
--- a/src/coordination/zone_failover/displaced_work_marker.cpp
+++ b/src/coordination/zone_failover/displaced_work_marker.cpp
@@ -51,8 +51,8 @@
     const ClusterState& cluster = context_.cluster;
     for (Id job_id = 0; job_id < cluster.jobs.size(); ++job_id) {
         const Job& job = cluster.jobs[job_id];
-        bool recently = job.interrupted_in == zone && job.interrupted_at >= 0 &&
-                        now < job.interrupted_at + kRecentlyInterrupted;
+        bool recently = job.last_interruption_zone == zone && job.last_interruption_at >= 0 &&
+                        now < job.last_interruption_at + kRecentlyInterrupted;
         if (recently && displaceable(job, zone) && !job.retry_queue.empty()) {
             displaced_.mark(now, cluster, job_id, zone);
         }
--- a/src/coordination/zone_failover/zone_admission.cpp
+++ b/src/coordination/zone_failover/zone_admission.cpp
@@ -89,7 +89,7 @@
         auto leaving = job.zones.find(displaced_.zone_of(job_id));
         std::uint32_t tasks = leaving == job.zones.end() ? 0 : leaving->second;
         tasks += std::min(static_cast<std::uint32_t>(job.retry_queue.size()),
-                          cluster.quota_headroom(job.spec.team, job.spec.each));
+                          cluster.quota_headroom(job.spec.team, job.spec.task_resources));
         if (tasks > 0) {
             reserve_.claim(job.spec, static_cast<int>(job.spec.priority), class_position, tasks);
         }
@@ -126,7 +126,7 @@
         return false;
     }
     std::uint32_t together = job.spec.gang() ? job.spec.tasks - job.assigned : 1;
-    Resources wanted = job.spec.each * static_cast<double>(together);
+    Resources wanted = job.spec.task_resources * static_cast<double>(together);
     return budget.empty || wanted.fits_in(budget.capacity);
 }
 
@@ -139,21 +139,21 @@
     if (reserve_.empty()) {
         return false;
     }
-    return reserve_.blocks(context_.cluster.jobs[job].spec.each, priority,
+    return reserve_.blocks(context_.cluster.jobs[job].spec.task_resources, priority,
                            displaced_.evacuation_position(context_.cluster, job), place);
 }
 
 void ZoneAdmission::add_placed_task(Id job_id, const EvacuationReserve::Place& place,
                                     bool fetches) {
     const Job& job = context_.cluster.jobs[job_id];
-    reserve_.take(job.spec.each, place);
+    reserve_.take(job.spec.task_resources, place);
     reserve_.fulfill(job.spec.job_class, static_cast<int>(job.spec.priority),
                      displaced_.evacuation_position(context_.cluster, job_id));
     if (place.zone >= budgets_.size()) {
         return;
     }
     Budget& budget = budgets_[place.zone];
-    budget.capacity -= job.spec.each;
+    budget.capacity -= job.spec.task_resources;
     budget.fetches += fetches;
     // The rest of a gang follows its first member.
     budget.empty = budget.empty && job.spec.gang() && job.assigned < job.spec.tasks;
--- a/src/coordination/zone_failover/zone_failover_manager.cpp
+++ b/src/coordination/zone_failover/zone_failover_manager.cpp
@@ -103,8 +103,8 @@
     if (record.state == ZoneState::lost) {
         marker_.log_loss(zone_id, zone.name);
     }
-    context_.place_now = true;
-    context_.scale_out_now = true;
+    context_.placement_requested = true;
+    context_.scale_out_requested = true;
 }
 
 // ---- displaced work
@@ -187,7 +187,7 @@
 }
 
 std::uint32_t ZoneFailoverManager::scale_out_allowance(Id zone, std::uint32_t reporting,
-                                                       std::uint32_t on_their_way,
+                                                       std::uint32_t provisioning,
                                                        Id for_job) const {
     if (!restricts_ || zones_.unrestricted(zone)) {
         return kUnlimited;
@@ -198,7 +198,7 @@
     }
     RecoveryRamp ramp(settings_, zones_[zone].durable.failed_ramps);
     std::uint32_t most = ramp.unproven_machines(reporting);
-    return most - std::min(most, on_their_way);
+    return most - std::min(most, provisioning);
 }
 
 std::uint32_t ZoneFailoverManager::open_zones() const {
--- a/src/coordination/zone_failover/zone_failover_manager.hpp
+++ b/src/coordination/zone_failover/zone_failover_manager.hpp
@@ -64,7 +64,7 @@
     bool lost(Id zone) const { return zones_.lost(zone); }
     // How many more machines may be requested there, with so many reporting and so many on their
     // way, for a job that fits nowhere (kNone: for work that could be elsewhere).
-    std::uint32_t scale_out_allowance(Id zone, std::uint32_t reporting, std::uint32_t on_their_way,
+    std::uint32_t scale_out_allowance(Id zone, std::uint32_t reporting, std::uint32_t provisioning,
                                       Id for_job) const;
     // The job has waited so long that a restricted zone is tried for it.
     bool waited_long(Id job) const;
--- a/src/coordination/zone_failover/zone_observer.cpp
+++ b/src/coordination/zone_failover/zone_observer.cpp
@@ -14,7 +14,7 @@
 
 void ZoneObserver::observe(Ms now, const WorkerManager& workers, const CloudManager& cloud) {
     bool conclusive = context_.holds_lease && now > judging_since() &&
-                      context_.view_confirmed_until >= now - kMaxConfirmationAge;
+                      context_.replica_confirmed_until >= now - kMaxConfirmationAge;
     for (Id zone = 0; zone < zones_.size(); ++zone) {
         zones_[zone].evidence = {};
         zones_[zone].evidence.conclusive = conclusive;
@@ -28,7 +28,7 @@
     for (Id zone = 0; zone < zones_.size(); ++zone) {
         ZoneEvidence& evidence = zones_[zone].evidence;
         evidence.relayed = context_.controller.replica.relayed(zones_[zone].name);
-        evidence.scale_out_refused = cloud.refused_lately(zone, now);
+        evidence.scale_out_refused = cloud.zone_backed_off(zone, now);
         evidence.other_zones_reporting = all_reporting > evidence.reporting_machines();
     }
 }
@@ -110,7 +110,8 @@
             }
             ++zone.evidence.controllers;
             zone.evidence.reachable_controllers +=
-                context_.peer_heard && context_.peer_heard(now, peer, kControllerHeartbeatSpan);
+                context_.peer_heard_within &&
+                context_.peer_heard_within(now, peer, kControllerHeartbeatSpan);
         }
     }
 }
--- a/src/coordination/zone_failover/zone_record_store.cpp
+++ b/src/coordination/zone_failover/zone_record_store.cpp
@@ -115,8 +115,8 @@
     }
     write.retry_at = now + kRetryDelay;
     // An earlier copy of our own write may have been executed: a new view shows its version.
-    if (response.status == StoreStatus::conflict && !context_.deposed_by(now, response)) {
-        context_.refresh(now);
+    if (response.status == StoreStatus::conflict && !context_.depose_if_superseded(now, response)) {
+        context_.refresh_replica(now);
     }
 }
 
--- a/src/protocol/peer_frame.cpp
+++ b/src/protocol/peer_frame.cpp
@@ -35,8 +35,8 @@
     ShortText controller{heartbeat.controller}, incarnation{heartbeat.incarnation},
         echo{heartbeat.echo_incarnation}, leader{heartbeat.leader};
     archive(controller, incarnation, heartbeat.sequence, heartbeat.echo, echo,
-            heartbeat.fencing_token, leader, heartbeat.store_quiet_ms, heartbeat.up_ms,
-            heartbeat.heartbeat_quiet_ms, heartbeat.revision);
+            heartbeat.fencing_token, leader, heartbeat.ms_since_store_response, heartbeat.uptime_ms,
+            heartbeat.ms_since_worker_heartbeat, heartbeat.revision);
 }
 
 namespace protocol {
--- a/src/protocol/user_codec.cpp
+++ b/src/protocol/user_codec.cpp
@@ -107,7 +107,7 @@
     submission.request = request;
     JobSpec& spec = submission.spec;
     spec.id = text_field(body, fields::kJobId);
-    if (!job_id_ok(spec.id)) {
+    if (!is_valid_job_id(spec.id)) {
         throw DecodeError::invalid(fields::kJobId);
     }
     submission.job_class_name = text_field(body, fields::kJobClass);
@@ -115,8 +115,8 @@
     spec.shape = decode_shape(text_field(body, fields::kShape));
     spec.priority = decode_priority(text_field(body, fields::kPriority));
     spec.tasks = decode_task_count(body);
-    spec.each = {decimal_field(body, fields::kCpus), decimal_field(body, fields::kGpus),
-                 decimal_field(body, fields::kMemoryGb)};
+    spec.task_resources = {decimal_field(body, fields::kCpus), decimal_field(body, fields::kGpus),
+                           decimal_field(body, fields::kMemoryGb)};
     decode_constraints(body, submission);
     submission.image_name = text_field(body, fields::kImage);
     spec.image_gb = decimal_field(body, fields::kImageGb);
--- a/src/protocol/wire.cpp
+++ b/src/protocol/wire.cpp
@@ -52,7 +52,7 @@
     }
     std::string job_id(path);
     // What can't be an id was never submitted; it must never become part of a key.
-    if (!job_id_ok(job_id)) {
+    if (!is_valid_job_id(job_id)) {
         return error_reply(404, "no such job");
     }
     if (method != (cancel ? Method::post : Method::get)) {
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -28,7 +28,7 @@
     parsed.job_id = name.substr(0, slash);
     const char* end = name.data() + name.size();
     auto [rest, error] = std::from_chars(name.data() + slash + 1, end, parsed.task);
-    if (error != std::errc() || rest != end || !job_id_ok(parsed.job_id)) {
+    if (error != std::errc() || rest != end || !is_valid_job_id(parsed.job_id)) {
         return std::nullopt;
     }
     return parsed;
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -76,7 +76,7 @@
     }
 }
 
-void PeerLink::send(const PeerSend& message) {
+void PeerLink::send(const OutgoingPeerHeartbeat& message) {
     if (message.peer >= outgoing_.size()) {
         return;
     }
@@ -101,7 +101,7 @@
     if (!outgoing.connected) {
         return;
     }
-    std::string frame = protocol::encode_frame(message.fact);
+    std::string frame = protocol::encode_frame(message.peer_heartbeat);
     bufferevent_write(outgoing.buffer.get(), frame.data(), frame.size());
 }
 
@@ -174,7 +174,7 @@
 void PeerLink::deliver(PeerHeartbeat heartbeat) {
     for (std::size_t i = 0; i < peers_.size(); ++i) {
         if (peers_[i].name == heartbeat.controller) {
-            handler_(PeerInput{i, std::move(heartbeat)});
+            handler_(IncomingPeerHeartbeat{i, std::move(heartbeat)});
             return;
         }
     }
--- a/src/transport/peer_link.hpp
+++ b/src/transport/peer_link.hpp
@@ -18,11 +18,11 @@
 class PeerLink {
   public:
     // Called with each heartbeat of a known peer, from the event loop.
-    using Handler = std::function<void(PeerInput)>;
+    using Handler = std::function<void(IncomingPeerHeartbeat)>;
     // Throws std::runtime_error where `listen` can't be listened on or an address is not valid.
     PeerLink(event_base* base, const std::string& listen, std::vector<Peer> peers, Handler handler);
     // Sends a heartbeat, or begins to connect where there is no connection.
-    void send(const PeerSend& message);
+    void send(const OutgoingPeerHeartbeat& message);
 
   private:
     struct Outgoing {
--- a/src/transport/process.cpp
+++ b/src/transport/process.cpp
@@ -59,9 +59,9 @@
                                  : platform_settings_.fd_limit / 2;
     server_ = std::make_unique<HttpServer>(base, platform_settings_.serve_on, max_served,
                                            [this](Input input) { receive(std::move(input)); });
-    peers_ = std::make_unique<PeerLink>(base, platform_settings_.cluster_listen,
-                                        platform_settings_.peers,
-                                        [this](PeerInput input) { receive(std::move(input)); });
+    peers_ = std::make_unique<PeerLink>(
+        base, platform_settings_.cluster_listen, platform_settings_.peers,
+        [this](IncomingPeerHeartbeat input) { receive(std::move(input)); });
     const std::string& store = platform_settings_.state;
     store_lease_client_ = std::make_unique<HttpClient>(base, store, 1, kStoreTimeoutMs, true);
     store_watch_client_ = std::make_unique<HttpClient>(base, store, 1, kWatchTimeoutMs, true);
@@ -133,7 +133,7 @@
                 send_to_cloud(std::move(message));
             } else if constexpr (std::is_same_v<T, WorkerRequest>) {
                 send_to_worker(std::move(message));
-            } else if constexpr (std::is_same_v<T, PeerSend>) {
+            } else if constexpr (std::is_same_v<T, OutgoingPeerHeartbeat>) {
                 peers_->send(message);
             } else if constexpr (std::is_same_v<T, WakeAt>) {
                 wake_at(message.at);
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -24,7 +24,7 @@
     s.shape = JobShape::gang;
     s.priority = Priority::high;
     s.tasks = 16;
-    s.each = {8, 1, 64};
+    s.task_resources = {8, 1, 64};
     s.any_machine_type = false;
     s.machine_types = {names.machine_types.intern("g8")};
     s.zone = names.zones.intern("a");
@@ -44,7 +44,7 @@
     s.id = "j-000413";
     s.team = names.teams.intern("vision");
     s.tasks = 100;
-    s.each = {1, 0, 2};
+    s.task_resources = {1, 0, 2};
     s.spread = true;
     s.image = names.images.intern("img-07");
     s.image_gb = 1;
@@ -86,10 +86,10 @@
     f.echo_incarnation = "walker-0-11";
     f.fencing_token = 123456789;
     f.leader = "walker-2";
-    f.store_quiet_ms = 15;
+    f.ms_since_store_response = 15;
     f.revision = 987654321;
-    f.up_ms = 4711;
-    f.heartbeat_quiet_ms = -1;
+    f.uptime_ms = 4711;
+    f.ms_since_worker_heartbeat = -1;
     return f;
 }
 
@@ -112,8 +112,8 @@
     EXPECT_EQ(encode_job({gang_spec(names), true}, names), f["gang_cancelled"]);
     EXPECT_EQ(encode_job({batch_spec(names), false}, names), f["batch"]);
     EXPECT_EQ(encode_placement_record(record_tasks()), f["chunk"]);
-    EXPECT_EQ(encode_ended({false, 16}), f["ended_done"]);
-    EXPECT_EQ(encode_ended({true, 100}), f["ended_cancelled"]);
+    EXPECT_EQ(encode_finished_job({false, 16}), f["ended_done"]);
+    EXPECT_EQ(encode_finished_job({true, 100}), f["ended_cancelled"]);
     EXPECT_EQ(encode_registry(registry(names), names), f["registry"]);
     EXPECT_EQ(encode_leader({"walker-2", "walker-2-77aa"}), f["leader"]);
     MachineType machine_type;
@@ -150,7 +150,7 @@
     ASSERT_TRUE(held);
     EXPECT_EQ(held->machines.size(), 40U);
     EXPECT_EQ(held->scale_out_requests.at(0).name, "w5-11");
-    EXPECT_TRUE(decode_ended(f["ended_cancelled"])->cancelled);
+    EXPECT_TRUE(decode_finished_job(f["ended_cancelled"])->cancelled);
     EXPECT_EQ(decode_leader(f["leader"])->controller, "walker-2");
     EXPECT_EQ(decode_machine_types(f["kinds"], names).size(), 1U);
 }
@@ -196,8 +196,8 @@
 TEST(Compatibility, NewKeysAreNoneThatProductionReads) {
     for (const std::string& key : {keys::registry_part(1), keys::announcement("walker-1")}) {
         EXPECT_EQ(key.rfind(keys::kRoot, 0), 0U) << "watched like all others";
-        for (const std::string& known : {keys::kJobs, keys::kEnded, keys::kTasks, keys::kRegistry,
-                                         keys::kLeader, keys::kMachineTypes}) {
+        for (const std::string& known : {keys::kJobs, keys::kFinishedJobs, keys::kPlacementRecords,
+                                         keys::kRegistry, keys::kLeader, keys::kMachineTypes}) {
             EXPECT_NE(key.rfind(known, 0), 0U) << key << " begins like " << known;
         }
     }
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -91,7 +91,7 @@
                 for (Output& next : controller.step(now, response)) {
                     outputs.push_back(std::move(next));
                 }
-            } else if (auto* heartbeat = std::get_if<PeerSend>(&output)) {
+            } else if (auto* heartbeat = std::get_if<OutgoingPeerHeartbeat>(&output)) {
                 (heartbeat->peer == 1 ? heartbeats_to_leader : heartbeats_to_followers) += 1;
             } else if (auto* wake_up = std::get_if<WakeAt>(&output)) {
                 next_wake_up = wake_up->at;
@@ -165,9 +165,10 @@
         return controller->leading();
     }
     std::ptrdiff_t count_sent_heartbeats() const {
-        return std::count_if(
-            recorded_outputs.begin(), recorded_outputs.end(),
-            [](const Output& output) { return std::holds_alternative<PeerSend>(output); });
+        return std::count_if(recorded_outputs.begin(), recorded_outputs.end(),
+                             [](const Output& output) {
+                                 return std::holds_alternative<OutgoingPeerHeartbeat>(output);
+                             });
     }
 };
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstddef>
 
-#include "leader_bench.hpp"
+#include "leader_harness.hpp"
 
 namespace walkford {
 namespace {
@@ -13,7 +13,7 @@
 // of eight. No step may examine much more than its limit, and the jobs that are served last must
 // start too.
 TEST(Fleet, BoundsTheWorkOfAStepAndStarvesNoJob) {
-    LeaderBench bench([](LeaderBench& setup) {
+    LeaderHarness harness([](LeaderHarness& setup) {
         for (Team& team : setup.platform_settings.teams) {
             team.quota = {0, 0, 0};
         }
@@ -30,14 +30,15 @@
     for (int i = 0; i < kMachines; ++i) {
         hosts.emplace_back("host-" + std::to_string(10000 + i), i % 2);
     }
-    bench.lead(hosts);
+    harness.elect_with_machines(hosts);
     int next_job = 0;
     auto submit_jobs = [&](int jobs, std::uint32_t tasks, double cpus, bool gang) {
         for (int i = 0; i < jobs; ++i) {
-            JobSpec spec = bench.spec("j-" + std::to_string(next_job++), cpus, tasks, gang);
+            JobSpec spec =
+                harness.make_job_spec("j-" + std::to_string(next_job++), cpus, tasks, gang);
             spec.team = static_cast<Id>(next_job % 2);
             spec.one_zone = gang;
-            bench.job(spec);
+            harness.submit_job(spec);
         }
     };
     submit_jobs(8000, 1, 2, false);
@@ -46,9 +47,11 @@
     std::size_t max_placing_work = 0;
     std::size_t max_packing_work = 0;
     for (int step = 0; step < 400; ++step) {
-        bench.pass(50);
-        max_placing_work = std::max(max_placing_work, bench.leader->context().work.placing);
-        max_packing_work = std::max(max_packing_work, bench.leader->context().work.packing);
+        harness.advance_time(50);
+        max_placing_work = std::max(
+            max_placing_work, harness.leader->context().candidate_counts.placement_candidates);
+        max_packing_work = std::max(max_packing_work,
+                                    harness.leader->context().candidate_counts.packing_candidates);
     }
     EXPECT_GT(max_placing_work, 0U);
     EXPECT_GT(max_packing_work, 0U);
@@ -56,7 +59,7 @@
     EXPECT_LT(max_placing_work, 500000U);
     EXPECT_LT(max_packing_work, 500000U);
     std::size_t unstarted_jobs = 0;
-    for (const Job& job : bench.cluster().jobs) {
+    for (const Job& job : harness.cluster().jobs) {
         unstarted_jobs += job.alive && job.assigned == 0;
     }
     EXPECT_EQ(unstarted_jobs, 0U);
--- a/tests/leader_bench.hpp
+++ b/tests/leader_harness.hpp
@@ -17,9 +17,9 @@
 namespace walkford {
 
 // A leader with two machine types ("small": 8 cores, "gpu": 32 cores and 4 GPUs) and two teams.
-// Writes to the store succeed at once unless `answer_writes` is false. Requests to the cloud are
+// Writes to the store succeed at once unless `complete_writes` is false. Requests to the cloud are
 // collected and get no response unless the test sends one.
-struct LeaderBench {
+struct LeaderHarness {
     PlatformSettings platform_settings;
     OperatorSettings operator_settings = test_operator_settings();
     std::unique_ptr<ControllerContext> context;
@@ -27,12 +27,12 @@
     Ms now = 1000;
     std::uint64_t next_created_version = 10;
     std::uint64_t sequence = 1;  // of the last heartbeat; also its request id
-    std::vector<CloudRequest> asked;
-    std::vector<Transaction> written;
-    std::map<RequestId, HeartbeatResponse> answers;
+    std::vector<CloudRequest> cloud_requests;
+    std::vector<Transaction> written_transactions;
+    std::map<RequestId, HeartbeatResponse> heartbeat_responses;
     std::uint64_t revision = 100;
 
-    explicit LeaderBench(const std::function<void(LeaderBench&)>& change = {}) {
+    explicit LeaderHarness(const std::function<void(LeaderHarness&)>& change = {}) {
         spdlog::set_level(spdlog::level::off);
         platform_settings.controller_name = "n0";
         platform_settings.zones = {"a", "b"};
@@ -54,12 +54,12 @@
     void elect(std::uint64_t fencing_token) {
         leader = std::make_unique<Leader>(*context, fencing_token, now);
         leader->context().depose = [](Ms, const char*) {};
-        leader->context().refresh = [](Ms) {};
+        leader->context().refresh_replica = [](Ms) {};
         leader->set_authority(true, now + 1000000, now + 1000000);
     }
     // Stores a registry with these machines, given as name and machine type, starts a leader, and
     // sends it a first heartbeat from every machine.
-    void lead(const std::vector<std::pair<std::string, int>>& machines) {
+    void elect_with_machines(const std::vector<std::pair<std::string, int>>& machines) {
         RegistryRecord registry;
         registry.first_scale_out_done = !machines.empty();
         for (const auto& [name, machine_type] : machines) {
@@ -87,34 +87,36 @@
         request.worker_status.fencing_token = fencing_token;
         request.worker_status.tasks = std::move(tasks);
         leader->heartbeat(now, request);
-        drain();
-        auto response = answers.find(request.request);
-        return response == answers.end() ? std::vector<WorkerCommand>{} : response->second.commands;
+        process_outputs();
+        auto response = heartbeat_responses.find(request.request);
+        return response == heartbeat_responses.end() ? std::vector<WorkerCommand>{}
+                                                     : response->second.commands;
     }
-    JobSpec spec(const std::string& id, double cpus, std::uint32_t tasks = 1, bool gang = false) {
+    JobSpec make_job_spec(const std::string& id, double cpus, std::uint32_t tasks = 1,
+                          bool gang = false) {
         JobSpec job_spec;
         job_spec.id = id;
         job_spec.team = 0;
         job_spec.tasks = tasks;
         job_spec.shape = gang ? JobShape::gang : JobShape::array;
-        job_spec.each = {cpus, 0, 1};
+        job_spec.task_resources = {cpus, 0, 1};
         job_spec.spot = true;
         return job_spec;
     }
     // Stores a submitted job and notifies the leader of it.
-    void job(const JobSpec& job_spec) {
+    void submit_job(const JobSpec& job_spec) {
         context->replica.apply({keys::job(job_spec.id),
                                 encode_job({job_spec, false}, context->names),
                                 next_created_version++});
         leader->job_changed(now, job_spec.id);
     }
     // False: transactions are collected and get no response.
-    bool answer_writes = true;
+    bool complete_writes = true;
     // Processes what the leader has sent until nothing more follows.
-    void drain() {
+    void process_outputs() {
         for (int round = 0; round < 20; ++round) {
-            context->store.pump(now, context->out);
-            context->cloud.pump(now, context->out);
+            context->store.send_queued(now, context->out);
+            context->cloud.send_queued(now, context->out);
             Outputs outputs = std::move(context->out);
             context->out.clear();
             if (outputs.empty()) {
@@ -122,17 +124,17 @@
             }
             for (Output& output : outputs) {
                 if (auto* response = std::get_if<HeartbeatResponse>(&output)) {
-                    answers[response->request] = *response;
+                    heartbeat_responses[response->request] = *response;
                 }
                 if (auto* cloud_request = std::get_if<CloudRequest>(&output)) {
-                    asked.push_back(*cloud_request);
+                    cloud_requests.push_back(*cloud_request);
                 }
                 if (auto* store_request = std::get_if<StoreRequest>(&output)) {
                     if (store_request->operation != StoreOperation::transaction) {
                         continue;
                     }
-                    written.push_back(store_request->transaction);
-                    if (!answer_writes) {
+                    written_transactions.push_back(store_request->transaction);
+                    if (!complete_writes) {
                         continue;
                     }
                     StoreResponse response;
@@ -145,16 +147,16 @@
         }
     }
     // Advances the clock by the span in steps of 50 ms, with a tick of the leader at each.
-    void pass(Ms span) {
+    void advance_time(Ms span) {
         for (Ms end = now + span; now < end;) {
             now += 50;
             leader->tick(now);
-            drain();
+            process_outputs();
         }
     }
     const ClusterState& cluster() { return leader->context().cluster; }
     // The name of the machine that a task is placed on; empty if it is on none.
-    std::string where(const std::string& job_id, std::uint32_t task = 0) {
+    std::string machine_of(const std::string& job_id, std::uint32_t task = 0) {
         ClusterState& state = leader->context().cluster;
         Id machine_id = state.task({state.find_job(job_id), task}).machine;
         return machine_id == kNone ? "" : state.machines[machine_id].name;
@@ -162,7 +164,7 @@
     // How many requests for a machine of that type the cloud has received.
     int scale_out_requests(const std::string& machine_type) {
         int count = 0;
-        for (const CloudRequest& cloud_request : asked) {
+        for (const CloudRequest& cloud_request : cloud_requests) {
             count += cloud_request.operation == CloudOperation::scale_out &&
                      cloud_request.machine_type == machine_type;
         }
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -45,7 +45,7 @@
         platform_settings.next_store_limits = next_limits;
         context =
             std::make_unique<ControllerContext>(platform_settings, test_operator_settings(), 1);
-        context->cluster_level = level;
+        context->cluster_feature_level = level;
         context->store.set_leading(true);
         for (const StoreEntry& entry : read_all_entries()) {
             context->replica.apply(entry);
@@ -75,7 +75,7 @@
         for (int step = 0; step < 4000 && max_transactions > 0; ++step) {
             now += 50;
             registry->write(now);
-            context->store.pump(now, context->out);
+            context->store.send_queued(now, context->out);
             Outputs outputs = std::move(context->out);
             context->out.clear();
             for (Output& output : outputs) {
@@ -202,7 +202,7 @@
     for (const StoreEntry& entry : read_all_entries()) {
         EXPECT_FALSE(entry.key.rfind(keys::kRegistryParts, 0) == 0) << entry.key;
     }
-    context->cluster_level = kFeatureServices;
+    context->cluster_feature_level = kFeatureServices;
     EXPECT_TRUE(registry->add_scale_out_request(scale_out_request));
     EXPECT_GT(registry->part_count(), 1U);
     run_writes();
--- a/tests/measure/decision_digest.cpp
+++ b/tests/measure/decision_digest.cpp
@@ -64,11 +64,11 @@
     void add(const WorkerRequest& c) {
         add_all(c.call, c.address, c.fencing_token, c.incarnation, c.commands);
     }
-    void add(const PeerSend& p) {
-        const PeerHeartbeat& f = p.fact;
+    void add(const OutgoingPeerHeartbeat& p) {
+        const PeerHeartbeat& f = p.peer_heartbeat;
         add_all(p.peer, f.controller, f.incarnation, f.sequence, f.echo, f.echo_incarnation,
-                f.fencing_token, f.leader, f.store_quiet_ms, f.revision, f.up_ms,
-                f.heartbeat_quiet_ms);
+                f.fencing_token, f.leader, f.ms_since_store_response, f.revision, f.uptime_ms,
+                f.ms_since_worker_heartbeat);
     }
     void add(const WakeAt& w) { add(w.at); }
     void add(const Output& output) {
--- a/tests/peer_monitor_test.cpp
+++ b/tests/peer_monitor_test.cpp
@@ -23,7 +23,7 @@
         heartbeat.sequence = ++last_sequence;
         heartbeat.echo = echo;
         heartbeat.echo_incarnation = echo_incarnation;
-        heartbeat.up_ms = uptime;
+        heartbeat.uptime_ms = uptime;
         heartbeat.revision = revision;
         return peer.receive(now, heartbeat, "me");
     }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -40,7 +40,7 @@
     EXPECT_TRUE(q.spec.gang());
     EXPECT_EQ(q.spec.tasks, 16U);
     EXPECT_EQ(q.spec.priority, Priority::high);
-    EXPECT_DOUBLE_EQ(q.spec.each.ram, 64.0);
+    EXPECT_DOUBLE_EQ(q.spec.task_resources.ram, 64.0);
     EXPECT_DOUBLE_EQ(q.spec.deadline_s, 900.0);
     EXPECT_EQ(q.machine_type_names, std::vector<std::string>{"g8"});
     EXPECT_FALSE(q.zone_named);
@@ -203,14 +203,14 @@
     f.sequence = 9;
     f.fencing_token = 77;
     f.leader = "n2";
-    f.store_quiet_ms = -1;
+    f.ms_since_store_response = -1;
     f.revision = 77;
     std::string frame = encode_frame(f).substr(4);
     auto back = decode_frame(frame);
     ASSERT_TRUE(back);
     EXPECT_EQ(back->fencing_token, 77U);
     EXPECT_EQ(back->leader, "n2");
-    EXPECT_EQ(back->store_quiet_ms, -1);
+    EXPECT_EQ(back->ms_since_store_response, -1);
     EXPECT_EQ(back->revision, 77U);
     std::mt19937 rng(5);
     for (int i = 0; i < 5000; ++i) {
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -94,10 +94,10 @@
 
 TEST(Records, RejectsJobIdsThatCouldFormOtherKeys) {
     for (const char* invalid_id : {"", "j-", "x-1", "j-1/2", "j-a b", "j-../x", "j-\n1", "J-1"}) {
-        EXPECT_FALSE(job_id_ok(invalid_id)) << invalid_id;
+        EXPECT_FALSE(is_valid_job_id(invalid_id)) << invalid_id;
     }
-    EXPECT_FALSE(job_id_ok("j-" + std::string(200, '1')));
-    EXPECT_TRUE(job_id_ok("j-000412"));
+    EXPECT_FALSE(is_valid_job_id("j-" + std::string(200, '1')));
+    EXPECT_TRUE(is_valid_job_id("j-000412"));
 }
 
 // A registry that exceeds the store's value limit of 4 KiB can't be written, so that no more
--- a/tests/standin/controllers.cpp
+++ b/tests/standin/controllers.cpp
@@ -353,7 +353,7 @@
     return reply;
 }
 
-void World::send(std::size_t i, const PeerSend& message) {
+void World::send(std::size_t i, const OutgoingPeerHeartbeat& message) {
     // Peers are all but oneself, in order.
     std::size_t to = message.peer < i ? message.peer : message.peer + 1;
     std::size_t index = i < to ? i : i - 1;
@@ -361,7 +361,9 @@
     if (arrives < 0) {
         return;
     }
-    at(arrives, [this, to, index, fact = message.fact] { feed(to, PeerInput{index, fact}); });
+    at(arrives, [this, to, index, peer_heartbeat = message.peer_heartbeat] {
+        feed(to, IncomingPeerHeartbeat{index, peer_heartbeat});
+    });
 }
 
 void World::send(std::size_t i, const WakeAt& wake) {
--- a/tests/standin/machines.cpp
+++ b/tests/standin/machines.cpp
@@ -230,13 +230,13 @@
         if (t.state == TaskState::exited || k == key) {
             continue;
         }
-        used += jobs_.at(t.job)->spec.each;
+        used += jobs_.at(t.job)->spec.task_resources;
         if (t.job == o.job && t.task == o.task) {
             refuse("busy");
             return;
         }
     }
-    if (!j->second->spec.each.fits_in(machine_types_[w.machine_type].size - used)) {
+    if (!j->second->spec.task_resources.fits_in(machine_types_[w.machine_type].size - used)) {
         refuse("no_room");
         return;
     }
--- a/tests/standin/rules.cpp
+++ b/tests/standin/rules.cpp
@@ -16,7 +16,7 @@
     const Job& j = *jobs_.at(r.job);
     std::string who = r.job + "/" + std::to_string(r.task);
     std::map<std::string, std::uint32_t> zones;
-    Resources used = j.spec.each;
+    Resources used = j.spec.task_resources;
     for (const auto& [name, other] : workers_) {
         for (const auto& [key, t] : other->tasks) {
             if (!t.on) {
@@ -24,7 +24,7 @@
             }
             const Job& oj = *jobs_.at(t.job);
             if (oj.team == j.team) {
-                used += oj.spec.each;
+                used += oj.spec.task_resources;
             }
             if (t.job != r.job) {
                 continue;
@@ -53,7 +53,7 @@
     if (j.spec.one_zone && !zones.empty() && (zones.size() > 1 || !zones.count(w.zone))) {
         broken("wrong_place", who + " not in its job's zone");
     }
-    if (j.spec.spread && zones[w.zone] + 1 > j.spec.zone_most()) {
+    if (j.spec.spread && zones[w.zone] + 1 > j.spec.max_tasks_per_zone()) {
         broken("wrong_place", who + " too many in a zone");
     }
     // One whose start command was on its way may start, until its time is over.
@@ -128,12 +128,12 @@
             }
             const Job& other = *jobs_.at(task.job);
             if (other.team == job.team && task.state != TaskState::exited) {
-                team_used += other.spec.each;
+                team_used += other.spec.task_resources;
             }
         }
     }
     for (const Team& team : platform_settings_.teams) {
-        Resources with = team_used + job.spec.each;
+        Resources with = team_used + job.spec.task_resources;
         bool over = (team.quota.cpus > 0 && with.cpus > team.quota.cpus + 1e-6) ||
                     (team.quota.gpus > 0 && with.gpus > team.quota.gpus + 1e-6);
         if (team.name == job.team && over) {
@@ -151,9 +151,9 @@
             worker.reclaim_at >= 0) {
             return false;
         }
-        Resources used = job.spec.each;
+        Resources used = job.spec.task_resources;
         for (const auto& [key, task] : worker.tasks) {
-            used += jobs_.at(task.job)->spec.each;
+            used += jobs_.at(task.job)->spec.task_resources;
         }
         return used.fits_in(machine_types_[worker.machine_type].size);
     });
@@ -232,9 +232,9 @@
         }
         broken("not_served",
                id + " (" + std::to_string(s.tasks) + (s.gang() ? " together" : " tasks") + " of " +
-                   std::to_string(static_cast<int>(s.each.cpus)) + " cores, " +
-                   std::to_string(static_cast<int>(s.each.gpus)) + " GPUs, " +
-                   std::to_string(static_cast<int>(s.each.ram)) + " GB, " + j->team +
+                   std::to_string(static_cast<int>(s.task_resources.cpus)) + " cores, " +
+                   std::to_string(static_cast<int>(s.task_resources.gpus)) + " GPUs, " +
+                   std::to_string(static_cast<int>(s.task_resources.ram)) + " GB, " + j->team +
                    (s.one_zone ? ", one zone" : "") + (s.spread ? ", spread" : "") +
                    (j->zone.empty() ? "" : ", in " + j->zone) + (s.spot ? "" : ", no spot") +
                    (j->any_machine_type ? "" : ", only " + j->machine_types[0]) + ") accepted at " +
--- a/tests/standin/upgrade.cpp
+++ b/tests/standin/upgrade.cpp
@@ -61,7 +61,7 @@
         s.shape = JobShape::service;
         s.tasks = static_cast<std::uint32_t>(pick(1, 4));
         s.priority = Priority::production;
-        s.each = {1, 0, 2};
+        s.task_resources = {1, 0, 2};
         s.spread = chance(0.5);
         s.spot = chance(0.3);
         s.image_gb = 1;
--- a/tests/standin/users.cpp
+++ b/tests/standin/users.cpp
@@ -147,7 +147,7 @@
     s.id = "j-8" + std::to_string(1000000 + small_job_number_++);
     s.tasks = 1;
     s.priority = Priority::normal;
-    s.each = {1, 0, 2};
+    s.task_resources = {1, 0, 2};
     s.spot = true;
     s.image_gb = 1;
     job->team = "blue";
@@ -186,7 +186,7 @@
     JobSpec& s = q.spec;
     s.id = "j-9" + std::to_string(1000000 + impossible_);
     s.tasks = 2;
-    s.each = {1, 0, 1};
+    s.task_resources = {1, 0, 1};
     q.team_name = "blue";
     q.job_class_name = "l0";
     switch (impossible_++ % 7) {
@@ -194,12 +194,12 @@
             q.team_name = "green";
             break;
         case 1:
-            s.each.cpus = 33;
+            s.task_resources.cpus = 33;
             break;
         case 2:
             q.machine_types_named = true;
             q.machine_type_names = {"small"};
-            s.each.gpus = 1;
+            s.task_resources.gpus = 1;
             break;
         case 3:
             q.zone_named = true;
@@ -207,7 +207,7 @@
             break;
         case 4:
             s.shape = JobShape::gang;
-            s.each.cpus = 21;
+            s.task_resources.cpus = 21;
             q.team_name = "red";
             break;
         case 5:
@@ -241,11 +241,11 @@
         s.tasks = static_cast<std::uint32_t>(s.gang() ? pick(1, 4) : pick(1, 7));
         s.priority = static_cast<Priority>(pick(0, 3));
         bool gpu = chance(0.3);
-        s.each = {static_cast<double>(pick(1, 6)), gpu ? 1.0 : 0.0,
-                  static_cast<double>(pick(2, 20))};
+        s.task_resources = {static_cast<double>(pick(1, 6)), gpu ? 1.0 : 0.0,
+                            static_cast<double>(pick(2, 20))};
         j->team = chance(0.6) ? "red" : "blue";
-        if (j->team == "red" && s.gang() && s.each.cpus * s.tasks > 40) {
-            s.each.cpus = 5;
+        if (j->team == "red" && s.gang() && s.task_resources.cpus * s.tasks > 40) {
+            s.task_resources.cpus = 5;
         }
         if (chance(0.25)) {
             j->any_machine_type = false;
--- a/tests/standin/world.hpp
+++ b/tests/standin/world.hpp
@@ -186,7 +186,7 @@
     void send(std::size_t i, const StoreRequest& sent);
     void send(std::size_t i, const CloudRequest& c);
     void send(std::size_t i, const WorkerRequest& c);
-    void send(std::size_t i, const PeerSend& message);
+    void send(std::size_t i, const OutgoingPeerHeartbeat& message);
     void send(std::size_t i, const WakeAt& wake);
     // Hands a reply to controller `i`, unless its process has ended meanwhile.
     std::function<void(const Input&)> reply_to(std::size_t i);
--- a/tests/standin/zone_losses.cpp
+++ b/tests/standin/zone_losses.cpp
@@ -66,7 +66,7 @@
             s.shape = work.shape;
             s.tasks = work.tasks;
             s.priority = work.priority;
-            s.each = {work.cpus, 0, 2};
+            s.task_resources = {work.cpus, 0, 2};
             s.spread = work.spread;
             s.one_zone = work.one_zone;
             s.image_gb = 1;
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -24,7 +24,7 @@
     }
     std::vector<CloudOperation> order;
     for (Ms now = 0; now <= 3000; now += 100) {
-        pending.pump(now, out);
+        pending.send_queued(now, out);
     }
     for (const Output& o : out) {
         order.push_back(std::get<CloudRequest>(o).operation);
@@ -110,7 +110,7 @@
     StoreClient pending(StoreLimits{1000, 10, 4, 8}, std::nullopt, 3);
     pending.set_leading(true);
     Outputs out;
-    pending.pump(0, out);
+    pending.send_queued(0, out);
     std::vector<std::string> sent;
     auto put = [&](RequestPriority u, const std::string& key) {
         Transaction t;
@@ -122,7 +122,7 @@
     }
     put(RequestPriority::cancel, "c");
     for (Ms t = 0; t <= 3000; t += 50) {
-        pending.pump(t, out);
+        pending.send_queued(t, out);
     }
     for (Output& o : out) {
         sent.push_back(std::get<StoreRequest>(o).transaction.writes[0].key);
--- a/tests/zone_failover_test.cpp
+++ b/tests/zone_failover_test.cpp
@@ -289,7 +289,7 @@
         replica.record.spec.team = 0;
         replica.record.spec.job_class = names.job_classes.intern(job_class);
         replica.record.spec.tasks = tasks;
-        replica.record.spec.each = {1, 0, 1};
+        replica.record.spec.task_resources = {1, 0, 1};
         replica.version = replica.created_version = ++created_version;
         state.load_job(replica, nullptr, 0);
         return state.find_job(id);
@@ -398,7 +398,7 @@
     EvacuationReserve reserve;
     JobSpec high;
     high.job_class = 1;
-    high.each = {*rc::gen::inRange(1, 5) * 1.0, 0, 1};
+    high.task_resources = {*rc::gen::inRange(1, 5) * 1.0, 0, 1};
     auto tasks = *rc::gen::inRange<std::uint32_t>(1, 8);
     reserve.claim(high, 1, 0, tasks);
     std::vector<EvacuationReserve::Place> places(*rc::gen::inRange<std::size_t>(1, 6),
