--- a/src/coordination/workers/worker_manager.cpp
+++ b/src/coordination/workers/worker_manager.cpp
@@ -38,8 +38,8 @@
 void WorkerManager::heartbeat(Ms now, const HeartbeatRequest& heartbeat) {
     const WorkerStatus& status = heartbeat.worker_status;
     if (now >= context_.heartbeat_answer_deadline) {
-        // Nothing proves that no job was cancelled in the meantime, so the worker's lease must be
-        // allowed to expire.
+        // There is no recent proof that no job was cancelled in the meantime, so the worker's lease
+        // must be allowed to expire.
         responder_.refuse(heartbeat.request);
         return;
     }
--- a/src/coordination/workers/worker_status_handler.hpp
+++ b/src/coordination/workers/worker_status_handler.hpp
@@ -40,8 +40,8 @@
         const WorkerStatus& status;
         StatusSource source;
         bool new_incarnation;  // the first status of a worker that was restarted
-        bool under_our_token;  // the worker has seen our token: it accepts commands of no older
-                               // leader
+        // The worker has seen our fencing token: it accepts commands of no older leader.
+        bool under_our_token;
     };
 
     static bool is_stale(const Machine& machine, const WorkerStatus& status);
--- a/src/protocol/cloud_codec.cpp
+++ b/src/protocol/cloud_codec.cpp
@@ -113,8 +113,8 @@
 
 }  // namespace
 
-HttpCall encode(const CloudRequest& request) {
-    HttpCall http;
+HttpRequest encode(const CloudRequest& request) {
+    HttpRequest http;
     switch (request.operation) {
         case CloudOperation::list_machine_types:
             http.path = fields::kMachineTypesPath;
--- a/src/protocol/store_codec.cpp
+++ b/src/protocol/store_codec.cpp
@@ -148,8 +148,8 @@
 
 }  // namespace
 
-HttpCall encode(const StoreRequest& request) {
-    HttpCall http;
+HttpRequest encode(const StoreRequest& request) {
+    HttpRequest http;
     switch (request.operation) {
         case StoreOperation::get:
             http.path = fields::kKeyPathPrefix + request.key;
--- a/src/protocol/user_codec.cpp
+++ b/src/protocol/user_codec.cpp
@@ -124,8 +124,8 @@
     return submission;
 }
 
-HttpReply encode(const UserResponse& response) {
-    HttpReply reply;
+HttpResponse encode(const UserResponse& response) {
+    HttpResponse reply;
     reply.code = response.code;
     reply.retry_after_s = response.retry_after_s;
     bool accepted = response.code == 200 || response.code == 201;
--- a/src/protocol/wire.cpp
+++ b/src/protocol/wire.cpp
@@ -10,9 +10,9 @@
 namespace {
 constexpr std::size_t kMaxPathBytes = 300;
 
-HttpReply no_such_path() { return error_reply(404, "no such path"); }
-HttpReply method_not_allowed() { return error_reply(405, "method not allowed"); }
-HttpReply not_messagepack() { return error_reply(400, "not a MessagePack value"); }
+HttpResponse no_such_path() { return error_response(404, "no such path"); }
+HttpResponse method_not_allowed() { return error_response(405, "method not allowed"); }
+HttpResponse not_messagepack() { return error_response(400, "not a MessagePack value"); }
 
 ParsedRequest parse_ready(RequestId request, Method method) {
     if (method != Method::get) {
@@ -53,7 +53,7 @@
     std::string job_id(path);
     // What can't be an id was never submitted; it must never become part of a key.
     if (!is_valid_job_id(job_id)) {
-        return error_reply(404, "no such job");
+        return error_response(404, "no such job");
     }
     if (method != (cancel ? Method::post : Method::get)) {
         return method_not_allowed();
@@ -83,7 +83,7 @@
 }
 }  // namespace
 
-HttpReply error_reply(int code, const std::string& message) {
+HttpResponse error_response(int code, const std::string& message) {
     bool retry = code == 503 || code == 429;
     return {code, pack(Json{{user_fields::kError, message}}), retry ? 1 : 0};
 }
@@ -99,9 +99,9 @@
     try {
         return parse_by_path(request, method, path, body);
     } catch (const DecodeError& error) {
-        return error_reply(400, error.what());
+        return error_response(400, error.what());
     } catch (const Json::exception&) {
-        return error_reply(400, "malformed");
+        return error_response(400, "malformed");
     }
 }
 
--- a/src/protocol/wire.hpp
+++ b/src/protocol/wire.hpp
@@ -16,14 +16,14 @@
 enum class Method : std::uint8_t { get, post, del, other };
 
 // An HTTP response of this controller.
-struct HttpReply {
+struct HttpResponse {
     int code = 200;
     std::string body;
     int retry_after_s = 0;  // 0: no Retry-After header
 };
 
 // An HTTP request of this controller.
-struct HttpCall {
+struct HttpRequest {
     Method method = Method::get;
     std::string path;
     std::string body;
@@ -31,25 +31,25 @@
 
 // A request to this controller: an input for the core, or the error response for a request that
 // the core never sees.
-using ParsedRequest = std::variant<Input, HttpReply>;
+using ParsedRequest = std::variant<Input, HttpResponse>;
 
 // Parses a request of a user or a worker; the server calls it for each request. Never throws.
 ParsedRequest parse_request(RequestId request, Method method, std::string_view path,
                             std::string_view body);
-HttpReply encode(const UserResponse& response);
-HttpReply encode(const HeartbeatResponse& response);
+HttpResponse encode(const UserResponse& response);
+HttpResponse encode(const HeartbeatResponse& response);
 // An error response; with 429 and 503 the client is asked to try again after a second.
-HttpReply error_reply(int code, const std::string& message);
+HttpResponse error_response(int code, const std::string& message);
 
 // In the decoders below, `code` is the HTTP status, or 0 where no response came. A body that can't
 // be understood is logged and counts as no response: the request may have been executed.
-HttpCall encode(const StoreRequest& request);
+HttpRequest encode(const StoreRequest& request);
 StoreResponse decode_store_response(const StoreRequest& request, int code, std::string_view body);
-HttpCall encode(const CloudRequest& request);
+HttpRequest encode(const CloudRequest& request);
 // Machine types and zones are added to `names`.
 CloudResponse decode_cloud_response(const CloudRequest& request, int code, std::string_view body,
                                     Names& names);
-HttpCall encode(const WorkerRequest& request);
+HttpRequest encode(const WorkerRequest& request);
 WorkerResponse decode_worker_response(CallId call, int code, std::string_view body);
 
 }  // namespace walkford::protocol
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -150,8 +150,8 @@
     return status;
 }
 
-HttpReply encode(const HeartbeatResponse& response) {
-    HttpReply reply;
+HttpResponse encode(const HeartbeatResponse& response) {
+    HttpResponse reply;
     reply.code = response.code;
     Json body = Json::object();
     if (response.code == 200) {
@@ -164,8 +164,8 @@
     return reply;
 }
 
-HttpCall encode(const WorkerRequest& request) {
-    HttpCall http;
+HttpRequest encode(const WorkerRequest& request) {
+    HttpRequest http;
     http.method = Method::post;
     http.path = fields::kCommandsPath;
     http.body = pack(Json{{fields::kFencingToken, request.fencing_token},
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -49,7 +49,7 @@
     }
 }
 
-void HttpClient::send(protocol::HttpCall call, ResponseHandler on_response) {
+void HttpClient::send(protocol::HttpRequest call, ResponseHandler on_response) {
     for (std::size_t i = 0; i < connections_.size(); ++i) {
         if (!connections_[i].busy) {
             start(i, call, std::move(on_response));
@@ -60,7 +60,7 @@
 }
 
 // Headers and body of a request.
-void HttpClient::fill(evhttp_request* request, const protocol::HttpCall& call) const {
+void HttpClient::fill(evhttp_request* request, const protocol::HttpRequest& call) const {
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
     evhttp_add_header(headers, "Host", address_.c_str());
     if (!keep_alive_) {
@@ -72,7 +72,7 @@
     }
 }
 
-void HttpClient::start(std::size_t connection_index, const protocol::HttpCall& call,
+void HttpClient::start(std::size_t connection_index, const protocol::HttpRequest& call,
                        ResponseHandler on_response) {
     PooledConnection& pooled = connections_[connection_index];
     if (!pooled.connection) {
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -26,7 +26,7 @@
     HttpClient& operator=(const HttpClient&) = delete;
 
     // Sends a request as soon as a connection is free.
-    void send(protocol::HttpCall call, ResponseHandler on_response);
+    void send(protocol::HttpRequest call, ResponseHandler on_response);
     // Whether no request is open or queued.
     bool idle() const;
 
@@ -44,7 +44,7 @@
         bool finished = false;  // whatever libevent still reports of it is ignored
     };
     struct QueuedRequest {
-        protocol::HttpCall call;
+        protocol::HttpRequest call;
         ResponseHandler on_response;
     };
     // A connection on which the next request of the queue is to be sent.
@@ -55,9 +55,9 @@
     static void on_done(evhttp_request* request, void* open_request);
     static void on_deadline(evutil_socket_t, short, void* open_request);
     static void on_send_next(evutil_socket_t, short, void* free_connection);
-    void start(std::size_t connection_index, const protocol::HttpCall& call,
+    void start(std::size_t connection_index, const protocol::HttpRequest& call,
                ResponseHandler on_response);
-    void fill(evhttp_request* request, const protocol::HttpCall& call) const;
+    void fill(evhttp_request* request, const protocol::HttpRequest& call) const;
     void finish(OpenRequest* open, int code, std::string_view body);
     void schedule_next(std::size_t connection_index);
     void connect(PooledConnection& pooled);
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -56,7 +56,7 @@
     }
 }
 
-void send(evhttp_request* request, const protocol::HttpReply& reply, bool close = false) {
+void send(evhttp_request* request, const protocol::HttpResponse& reply, bool close = false) {
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
     if (close) {
         evhttp_add_header(headers, "Connection", "close");
@@ -172,7 +172,7 @@
     evbuffer* input = evhttp_request_get_input_buffer(request);
     std::size_t size = evbuffer_get_length(input);
     if (size > kMaxBodyBytes) {
-        send(request, protocol::error_reply(400, "body over 64 KiB"));
+        send(request, protocol::error_response(400, "body over 64 KiB"));
         return;
     }
     std::string_view body;
@@ -181,7 +181,7 @@
     }
     RequestId id = next_request_id_++;
     protocol::ParsedRequest parsed = protocol::parse_request(id, method_of(request), path, body);
-    if (auto* reply = std::get_if<protocol::HttpReply>(&parsed)) {
+    if (auto* reply = std::get_if<protocol::HttpResponse>(&parsed)) {
         if (reply->code == 400) {
             spdlog::debug("refused {}: 400", std::string(path.substr(0, kMaxLoggedPath)));
         }
@@ -193,7 +193,7 @@
     handler_(std::move(std::get<Input>(parsed)));
 }
 
-void HttpServer::answer(RequestId id, const protocol::HttpReply& reply) {
+void HttpServer::answer(RequestId id, const protocol::HttpResponse& reply) {
     auto found = open_.find(id);
     if (found == open_.end()) {
         return;  // its connection has been closed
--- a/src/transport/http_server.hpp
+++ b/src/transport/http_server.hpp
@@ -26,7 +26,7 @@
     HttpServer& operator=(const HttpServer&) = delete;
 
     // Sends the response to a request; nothing where its connection has been closed.
-    void answer(RequestId request, const protocol::HttpReply& reply);
+    void answer(RequestId request, const protocol::HttpResponse& reply);
     // Connections that are open and have sent a request.
     std::size_t connections() const { return connections_.size(); }
     // How many connections have sent a request since the start.
--- a/src/transport/process.cpp
+++ b/src/transport/process.cpp
@@ -157,7 +157,7 @@
 
 void Process::send_to_store(StoreRequest request) {
     HttpClient& client = store_client(request);
-    protocol::HttpCall http = protocol::encode(request);
+    protocol::HttpRequest http = protocol::encode(request);
     request.transaction = {};  // the response is decoded without it
     client.send(std::move(http),
                 [this, request = std::move(request)](int code, std::string_view body) {
@@ -166,7 +166,7 @@
 }
 
 void Process::send_to_cloud(CloudRequest request) {
-    protocol::HttpCall http = protocol::encode(request);
+    protocol::HttpRequest http = protocol::encode(request);
     cloud_client_->send(
         std::move(http), [this, request = std::move(request)](int code, std::string_view body) {
             receive(protocol::decode_cloud_response(request, code, body, controller_.names()));
--- a/tests/loopback/fleet.cpp
+++ b/tests/loopback/fleet.cpp
@@ -2,7 +2,7 @@
 
 namespace walkford::transport {
 
-using protocol::HttpCall;
+using protocol::HttpRequest;
 using protocol::Method;
 
 void LoopbackFleet::add(const std::string& name, const std::string& zone) {
@@ -77,7 +77,7 @@
     worker.next_report = now + kReport;
     auto& client = *clients_.at(worker.zone).at(worker.controller);
     client.send(
-        HttpCall{Method::post, "/agent/beat", protocol::pack(body)},
+        HttpRequest{Method::post, "/agent/beat", protocol::pack(body)},
         [this, &worker, now, incarnation = worker.incarnation](int code, std::string_view answer) {
             Json value = protocol::unpack(answer).value_or(Json::object());
             answered(worker, now, incarnation, code, value);
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -21,7 +21,7 @@
 namespace walkford::transport {
 namespace {
 
-using protocol::HttpCall;
+using protocol::HttpRequest;
 using protocol::Method;
 using protocol::pack;
 using protocol::unpack;
@@ -115,7 +115,7 @@
                              const std::string& body = "") {
         int code = -1;
         Json answer;
-        clients[controller]->send(HttpCall{m, path, body}, [&](int c, std::string_view b) {
+        clients[controller]->send(HttpRequest{m, path, body}, [&](int c, std::string_view b) {
             code = c;
             answer = unpack(b).value_or(Json());
         });
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -27,7 +27,7 @@
 
 int code_of(const std::string& body, std::string_view path = "/work", Method m = Method::post) {
     ParsedRequest a = parse_request(1, m, path, body);
-    auto* reply = std::get_if<HttpReply>(&a);
+    auto* reply = std::get_if<HttpResponse>(&a);
     return reply ? reply->code : 200;
 }
 
--- a/tests/zone_loopback_test.cpp
+++ b/tests/zone_loopback_test.cpp
@@ -17,7 +17,7 @@
 namespace walkford::transport {
 namespace {
 
-using protocol::HttpCall;
+using protocol::HttpRequest;
 using protocol::Method;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -148,7 +148,7 @@
                              const std::string& body = "") {
         int code = -1;
         Json answer;
-        users[controller]->send(HttpCall{method, path, body}, [&](int c, std::string_view b) {
+        users[controller]->send(HttpRequest{method, path, body}, [&](int c, std::string_view b) {
             code = c;
             answer = unpack(b).value_or(Json());
         });
