--- a/src/coordination/context/controller_context.hpp
+++ b/src/coordination/context/controller_context.hpp
@@ -28,7 +28,7 @@
           replica(names),
           store(platform_settings.store_limits, platform_settings.next_store_limits,
                 static_cast<std::uint32_t>(platform_settings.peers.size() + 1)),
-          cloud(platform_settings.cloud_rps),
+          cloud(platform_settings.cloud_requests_per_s),
           rng(seed) {
         for (const Team& team : platform_settings.teams) {
             names.teams.intern(team.name);
--- a/src/coordination/placement/machine_scorer.cpp
+++ b/src/coordination/placement/machine_scorer.cpp
@@ -61,7 +61,7 @@
 bool MachineScorer::blocked_by_failover(Id job, const FreeCapacity::MachineGroup& group,
                                         const FreeCapacity::MachineCapacity& capacity,
                                         bool must_fetch) const {
-    if (!zone_failover_.restricts()) {
+    if (!zone_failover_.has_restrictions()) {
         return false;
     }
     ClusterState& cluster = context_.cluster;
--- a/src/coordination/placement/placement_round.cpp
+++ b/src/coordination/placement/placement_round.cpp
@@ -21,11 +21,12 @@
     const Machine& machine = cluster.machines[machine_id];
     const JobSpec& spec = cluster.jobs[task.job].spec;
     class_capacity_.account_for_assignment(machine, spec.task_resources);
-    EvacuationReserve::Place place{machine.machine_type, machine.zone, machine.spot,
-                                   cluster.machine_type(machine.machine_type)->size - machine.used};
+    EvacuationReserve::PlacementTarget place{
+        machine.machine_type, machine.zone, machine.spot,
+        cluster.machine_type(machine.machine_type)->size - machine.used};
     bool must_fetch = MachineScorer::must_fetch_image(spec, machine);
     cluster.assign(task, machine_id, attempt, now);
-    zone_failover_.placed(task.job, place, must_fetch);
+    zone_failover_.on_task_placed(task.job, place, must_fetch);
     free_capacity_.update(cluster, machine_id);
 }
 
--- a/src/coordination/placement/placer.cpp
+++ b/src/coordination/placement/placer.cpp
@@ -61,7 +61,7 @@
         begin_pass(now);
     }
     round_.begin(now, schedulable);
-    if (zone_failover_.restricts()) {
+    if (zone_failover_.has_restrictions()) {
         // Nothing is reserved or preempted in a zone that is not open: work returns to it slowly.
         std::erase_if(schedulable, [&](Id machine) {
             return !zone_failover_.open(context_.cluster.machines[machine].zone);
--- a/src/coordination/scaling/scale_out_candidates.cpp
+++ b/src/coordination/scaling/scale_out_candidates.cpp
@@ -35,7 +35,7 @@
 
 template <typename UnitsOf>
 std::vector<ScaleOutCandidate> ScaleOutCandidates::list_candidates(const UnitsOf& units_of) const {
-    bool use_spot = context_.controller.operator_settings.prefer_spot > 0;
+    bool use_spot = context_.controller.operator_settings.spot_preference > 0;
     std::vector<ScaleOutCandidate> candidates;
     for (const MachineType& machine_type : context_.cluster.machine_types()) {
         for (Id zone : machine_type.zones) {
--- a/src/coordination/scaling/scaler.cpp
+++ b/src/coordination/scaling/scaler.cpp
@@ -42,7 +42,7 @@
     pack_pending(fleet);
     log_fleet(now, workers);
     const OperatorSettings& settings = context_.controller.operator_settings;
-    if (skip_interval || now >= last_scale_out_at_ + to_ms(settings.out_interval_s)) {
+    if (skip_interval || now >= last_scale_out_at_ + to_ms(settings.scale_out_interval_s)) {
         std::size_t bins_before = fleet.bins.size();
         scale_out_by_utilization(now, fleet, cloud);
         if (!unplaced_.empty() || fleet.bins.size() > bins_before) {
@@ -288,7 +288,7 @@
 
 void Scaler::scale_in(Ms now, CloudManager& cloud) {
     const OperatorSettings& settings = context_.controller.operator_settings;
-    Ms interval = std::max<Ms>(1, to_ms(settings.in_interval_s));
+    Ms interval = std::max<Ms>(1, to_ms(settings.scale_in_interval_s));
     std::uint32_t max_releases = releases_due(now, interval);
     if (max_releases == 0) {
         return;
--- a/src/coordination/settings/platform_settings.hpp
+++ b/src/coordination/settings/platform_settings.hpp
@@ -1,4 +1,4 @@
-// What the platform hands over to a controller: the deployment it belongs to and its limits.
+// The settings that the platform passes to a controller: its deployment and the limits in it.
 #pragma once
 
 #include <optional>
@@ -13,42 +13,43 @@
 // Another controller of the cluster.
 struct Peer {
     std::string name;
-    std::string address;    // of its cluster_listen
-    std::string zone = {};  // empty: not known
+    std::string address;    // address that the peer listens on, its cluster_listen
+    std::string zone = {};  // empty if unknown
 };
 
-// An objective on the start latency: tasks of the class are to start within so many seconds.
+// A start latency objective: tasks of the class should start within `within_s` seconds.
 struct StartLatencyObjective {
     std::string job_class;
     double within_s = 0;
 };
 
-// The platform's settings, a JSON document that src/protocol/settings_file.cpp reads and checks;
-// members in _s are seconds. Read-only after the start.
+// The platform's settings. src/protocol/settings_file.cpp reads them from a JSON document and
+// checks them. Members that end in _s are in seconds. Read-only after the start.
 struct PlatformSettings {
     std::string controller_name;
-    std::string incarnation;     // random for every start: never only the controller's name
-    std::string zone;            // where this controller is; empty: not known
-    std::string serve_on;        // address for users and workers
+    std::string incarnation;  // unique to each start of the process, unlike the controller's name
+    std::string zone;         // zone of this controller; empty if unknown
+    std::string serve_on;     // address for users and workers
     std::string cluster_listen;  // address for peers
     std::vector<Peer> peers;     // the other controllers
-    std::string cloud;           // address of the cloud's interface
-    std::string state;           // address of the state service
+    std::string cloud;           // address of the cloud API
+    std::string state;           // address of the store
     std::vector<Team> teams;
     std::vector<std::string> zones;
     std::vector<StartLatencyObjective> start_latency_objectives;
-    std::vector<std::string> classes;  // job classes that any objective names
-    double report_s = 2;               // interval of workers' heartbeats
-    double lease_s = 10;               // a worker's lease: without an answer it stops its tasks
-    double gang_wait_s = 30;           // of gangs, for workers; not used by controllers
-    double gang_peer_s = 4;            // of gangs, for workers; not used by controllers
-    double cancel_s = 30;              // by then a cancelled job's tasks must have stopped
+    std::vector<std::string> objective_classes;  // job classes that an objective names
+    double report_s = 2;                         // interval of workers' heartbeats
+    double lease_s = 10;      // lease of a worker, which stops its tasks when it expires
+    double gang_wait_s = 30;  // gang setting of the workers; not used by controllers
+    double gang_peer_s = 4;   // gang setting of the workers; not used by controllers
+    double cancel_s = 30;     // time limit for the tasks of a cancelled job to stop
     StoreLimits store_limits;
-    std::optional<StoreLimits> next_store_limits;  // will replace them at an unannounced moment
-    double cloud_rps = 4;                          // requests a second that the cloud admits
-    double list_lag_s = 5;                         // how far the cloud's list may lag behind
-    std::uint32_t fd_limit = 512;                  // file descriptors of the process
-    // What this version can read; less only where a test stands in for an earlier one.
+    std::optional<StoreLimits> next_store_limits;  // replaces store_limits at an unknown time
+    double cloud_requests_per_s = 4;               // maximum request rate of the cloud API
+    double list_lag_s = 5;                         // maximum staleness of the cloud's machine list
+    std::uint32_t fd_limit = 512;  // maximum number of file descriptors of the process
+    // The newest record format that this version can read. Only tests that simulate an earlier
+    // version set a lower level.
     std::uint32_t feature_level = kFeatureNewest;
 };
 
--- a/src/coordination/zone_failover/displaced_work.cpp
+++ b/src/coordination/zone_failover/displaced_work.cpp
@@ -5,15 +5,15 @@
 namespace walkford {
 
 EvacuationOrder::EvacuationOrder(const ZoneFailoverSettings& settings, Names& names) {
-    for (const std::string& job_class : settings.order) {
+    for (const std::string& job_class : settings.evacuation_order) {
         positions_.emplace(names.job_classes.intern(job_class),
                            static_cast<int>(positions_.size()));
     }
 }
 
 int EvacuationOrder::evacuation_position(Id job_class) const {
-    auto named = positions_.find(job_class);
-    return named == positions_.end() ? last_position() : named->second;
+    auto entry = positions_.find(job_class);
+    return entry == positions_.end() ? last_position() : entry->second;
 }
 
 bool DisplacedWork::is_same_job(const ClusterState& cluster, Id job,
@@ -24,13 +24,13 @@
 
 void DisplacedWork::mark(Ms now, const ClusterState& cluster, Id job, Id zone) {
     const JobSpec& spec = cluster.jobs[job].spec;
-    auto marked = jobs_.find(job);
-    if (marked != jobs_.end() && marked->second.name == spec.id) {
+    auto entry = jobs_.find(job);
+    if (entry != jobs_.end() && entry->second.name == spec.id) {
         return;
     }
-    if (marked != jobs_.end()) {
-        // Another job had that index, and ended since the last observation.
-        ClassProgress& old_progress = progress_[{marked->second.zone, marked->second.job_class}];
+    if (entry != jobs_.end()) {
+        // The index belonged to another job that ended since the last observation and was reused.
+        ClassProgress& old_progress = progress_[{entry->second.zone, entry->second.job_class}];
         --old_progress.displaced;
         ++old_progress.ended;
     }
@@ -48,8 +48,8 @@
 }
 
 bool DisplacedWork::contains(const ClusterState& cluster, Id job) const {
-    auto marked = jobs_.find(job);
-    return marked != jobs_.end() && is_same_job(cluster, job, marked->second);
+    auto entry = jobs_.find(job);
+    return entry != jobs_.end() && is_same_job(cluster, job, entry->second);
 }
 
 int DisplacedWork::evacuation_position(const ClusterState& cluster, Id job) const {
@@ -62,8 +62,8 @@
 }
 
 Id DisplacedWork::zone_of(Id job) const {
-    auto marked = jobs_.find(job);
-    return marked == jobs_.end() ? kNone : marked->second.zone;
+    auto entry = jobs_.find(job);
+    return entry == jobs_.end() ? kNone : entry->second.zone;
 }
 
 std::vector<Id> DisplacedWork::jobs() const {
@@ -78,8 +78,8 @@
     return list;
 }
 
-// None of its tasks is counted in a zone that is lost still, none that had run waits, and all that
-// are placed run.
+// A job runs again when no task is allocated in the zone that still fails, no task waits for a
+// restart, and every placed task, of which there is at least one, is running.
 bool DisplacedWork::runs_again(const ClusterState& cluster, Id job_id, Id lost_zone) {
     const Job& job = cluster.jobs[job_id];
     if (job.zones.count(lost_zone) > 0 || !job.retry_queue.empty() || job.assigned == 0) {
@@ -89,39 +89,39 @@
         if (!record) {
             continue;
         }
-        bool all_run =
+        bool all_running =
             std::all_of(record->tasks.begin(), record->tasks.end(), [](const Task& task) {
                 return task.machine == kNone || task.state == TaskState::running;
             });
-        if (!all_run) {
+        if (!all_running) {
             return false;
         }
     }
     return true;
 }
 
-std::vector<DisplacedWork::ClassDone> DisplacedWork::collect_finished(Ms now, ClusterState& cluster,
-                                                                      const std::set<Id>& failing) {
-    std::vector<ClassDone> finished;
-    for (auto next = jobs_.begin(); next != jobs_.end();) {
-        const auto& [job, displaced] = *next;
+std::vector<DisplacedWork::FinishedClass> DisplacedWork::collect_finished(
+    Ms now, ClusterState& cluster, const std::set<Id>& failing) {
+    std::vector<FinishedClass> finished;
+    for (auto entry = jobs_.begin(); entry != jobs_.end();) {
+        const auto& [job, displaced] = *entry;
         bool ended = !is_same_job(cluster, job, displaced) || cluster.jobs[job].cancelled;
         Id lost_zone = failing.count(displaced.zone) > 0 ? displaced.zone : kNone;
-        bool again = !ended && runs_again(cluster, job, lost_zone);
-        if (!ended && !again) {
-            ++next;
+        bool running_again = !ended && runs_again(cluster, job, lost_zone);
+        if (!ended && !running_again) {
+            ++entry;
             continue;
         }
         ClassProgress& progress = progress_[{displaced.zone, displaced.job_class}];
         --progress.displaced;
-        progress.run_again += again;
+        progress.run_again += running_again;
         progress.ended += ended;
         if (progress.displaced == 0) {
             finished.push_back({displaced.zone, displaced.job_class, progress.run_again,
                                 progress.ended, now - progress.since});
             progress_.erase({displaced.zone, displaced.job_class});
         }
-        next = jobs_.erase(next);
+        entry = jobs_.erase(entry);
     }
     return finished;
 }
--- a/src/coordination/zone_failover/displaced_work.hpp
+++ b/src/coordination/zone_failover/displaced_work.hpp
@@ -1,4 +1,5 @@
-// The jobs that a lost zone displaced: their order by class, and when they run again.
+// Tracks the jobs that a failed zone displaced: their evacuation order by job class, and when each
+// of them runs again.
 #pragma once
 
 #include <compare>
@@ -12,67 +13,73 @@
 
 namespace walkford {
 
-// The job classes in the operators' order of evacuation. Position 0 is placed first.
+// The evacuation order that the operators configured: a position for each job class. Work at
+// position 0 is placed first.
 class EvacuationOrder {
   public:
-    // Interns the settings' classes in `names`.
+    // Interns the job classes of the configured order in `names`.
     EvacuationOrder(const ZoneFailoverSettings& settings, Names& names);
-    // The class's position; the last one if the settings do not name it.
+    // Returns the class's position, or last_position() if the configured order does not name it.
     int evacuation_position(Id job_class) const;
-    // The position of displaced work of no named class, and of all that was not displaced.
+    // The position of displaced jobs whose class is not in the configured order, and of all jobs
+    // that are not displaced.
     int last_position() const { return static_cast<int>(positions_.size()); }
 
   private:
     std::map<Id, int> positions_;  // by job class
 };
 
-// The displaced jobs, and how many of each zone and class run again. Owned by ZoneFailoverManager.
+// The displaced jobs, and how many jobs of each zone and class run again. Owned by
+// ZoneFailoverManager.
 class DisplacedWork {
   public:
-    // No job is displaced yet.
+    // Starts without displaced jobs.
     explicit DisplacedWork(EvacuationOrder order) : order_(std::move(order)) {}
 
-    // The job has tasks on the zone's machines, or had them there. Marking it again changes
-    // nothing.
+    // Marks a job as displaced that has, or had, tasks on the zone's machines. Marking it again
+    // has no effect.
     void mark(Ms now, const ClusterState& cluster, Id job, Id zone);
-    // The zone is healthy: its work was not displaced after all.
+    // Removes the jobs that the zone displaced. Called when the zone is up again: such jobs no
+    // longer need to be evacuated.
     void forget_zone(Id zone);
 
-    // The job is displaced, and still the one that was marked.
+    // Returns whether the job is displaced. An index that now belongs to another job does not
+    // count.
     bool contains(const ClusterState& cluster, Id job) const;
-    // No job is displaced.
+    // Returns whether no job is displaced.
     bool empty() const { return jobs_.empty(); }
-    // How many jobs are displaced.
+    // The number of displaced jobs.
     std::size_t size() const { return jobs_.size(); }
-    // The position of its class, or the last one if it was not displaced.
+    // Returns the position of the job's class, or last_position() if the job is not displaced.
     int evacuation_position(const ClusterState& cluster, Id job) const;
-    // When it was displaced; -1: it was not.
+    // Returns when the job was displaced, or -1 if it is not displaced.
     Ms since(const ClusterState& cluster, Id job) const;
 
-    // The displaced work of one zone and class is finished: all of it runs again or has ended.
-    struct ClassDone {
+    // The result for one zone and class once each of its displaced jobs runs again or has ended.
+    struct FinishedClass {
         Id zone = kNone;
         Id job_class = kNone;
-        std::uint32_t run_again = 0;  // jobs
-        std::uint32_t ended = 0;      // jobs that were done or cancelled meanwhile
-        Ms took = 0;                  // since the first of them was displaced
+        std::uint32_t run_again = 0;  // number of jobs that run again
+        std::uint32_t ended = 0;      // number of jobs that finished or were cancelled instead
+        Ms duration = 0;              // since the first of the jobs was displaced
     };
-    // Takes out jobs that run again, have ended or were cancelled; returns the classes of which
-    // those were the last. `failing`: zones that are not healthy yet; what runs in a zone that is
-    // back runs again.
-    std::vector<ClassDone> collect_finished(Ms now, ClusterState& cluster,
-                                            const std::set<Id>& failing);
+    // Removes the jobs that run again, have ended or were cancelled. Returns the zones and classes
+    // that have no displaced job left. `failing` holds the zones that are still suspect or lost: a
+    // job with tasks in its failing zone does not count as running again, one with tasks in a zone
+    // that has recovered does.
+    std::vector<FinishedClass> collect_finished(Ms now, ClusterState& cluster,
+                                                const std::set<Id>& failing);
 
-    // The operators' order.
+    // The evacuation order that the operators configured.
     const EvacuationOrder& order() const { return order_; }
-    // The displaced jobs, most urgent class first.
+    // The displaced jobs, in evacuation order.
     std::vector<Id> jobs() const;
-    // The zone that displaced the job; kNone if none did.
+    // Returns the zone that displaced the job, or kNone if the job is not displaced.
     Id zone_of(Id job) const;
 
   private:
     struct DisplacedJob {
-        std::string name;  // a job's index is used again once it has ended
+        std::string name;  // identifies the job: its index is reused after it ends
         Id zone = kNone;
         Id job_class = kNone;
         Ms since = 0;
@@ -82,9 +89,9 @@
         Id job_class = kNone;
         auto operator<=>(const ZoneClassKey&) const = default;
     };
-    // Numbers of jobs since the first of its zone and class was displaced.
+    // Counts the jobs of one zone and class since the first of them was displaced.
     struct ClassProgress {
-        std::uint32_t displaced = 0;  // still
+        std::uint32_t displaced = 0;  // still displaced
         std::uint32_t run_again = 0;
         std::uint32_t ended = 0;
         Ms since = 0;
--- a/src/coordination/zone_failover/displaced_work_marker.cpp
+++ b/src/coordination/zone_failover/displaced_work_marker.cpp
@@ -10,12 +10,12 @@
 namespace walkford {
 
 namespace {
-constexpr Ms kRecentlyInterrupted = 60000;
+constexpr Ms kRecentInterruptionSpan = 60000;
 
-bool active(const Job& job) { return job.alive && !job.cancelled; }
+bool is_active(const Job& job) { return job.alive && !job.cancelled; }
 
-// The job can continue in another zone.
-bool displaceable(const Job& job, Id zone) { return active(job) && job.spec.zone != zone; }
+// Returns whether the job is active and may run in another zone.
+bool can_be_displaced(const Job& job, Id zone) { return is_active(job) && job.spec.zone != zone; }
 }  // namespace
 
 DisplacedWorkMarker::DisplacedWorkMarker(LeaderContext& context, DisplacedWork& displaced)
@@ -41,7 +41,7 @@
 void DisplacedWorkMarker::mark_tasks_on(Ms now, const Machine& machine) {
     const ClusterState& cluster = context_.cluster;
     for (TaskRef ref : machine.tasks) {
-        if (displaceable(cluster.jobs[ref.job], machine.zone)) {
+        if (can_be_displaced(cluster.jobs[ref.job], machine.zone)) {
             displaced_.mark(now, cluster, ref.job, machine.zone);
         }
     }
@@ -51,9 +51,10 @@
     const ClusterState& cluster = context_.cluster;
     for (Id job_id = 0; job_id < cluster.jobs.size(); ++job_id) {
         const Job& job = cluster.jobs[job_id];
-        bool recently = job.last_interruption_zone == zone && job.last_interruption_at >= 0 &&
-                        now < job.last_interruption_at + kRecentlyInterrupted;
-        if (recently && displaceable(job, zone) && !job.retry_queue.empty()) {
+        bool recently_interrupted = job.last_interruption_zone == zone &&
+                                    job.last_interruption_at >= 0 &&
+                                    now < job.last_interruption_at + kRecentInterruptionSpan;
+        if (recently_interrupted && can_be_displaced(job, zone) && !job.retry_queue.empty()) {
             displaced_.mark(now, cluster, job_id, zone);
         }
     }
@@ -63,11 +64,11 @@
     ClusterState& cluster = context_.cluster;
     for (Id job_id = 0; job_id < cluster.jobs.size(); ++job_id) {
         const Job& job = cluster.jobs[job_id];
-        bool started =
+        bool has_interrupted_task =
             std::any_of(job.retry_queue.begin(), job.retry_queue.end(), [&](std::uint32_t task) {
                 return cluster.task({job_id, task}).attempt > 0;
             });
-        if (started && displaceable(job, zone)) {
+        if (has_interrupted_task && can_be_displaced(job, zone)) {
             displaced_.mark(now, cluster, job_id, zone);
         }
     }
@@ -79,15 +80,16 @@
     for (Id job : displaced_.jobs()) {
         jobs_by_class[cluster.jobs[job].spec.job_class] += displaced_.zone_of(job) == zone;
     }
-    std::string list;
+    std::string class_counts;
     for (const auto& [job_class, count] : jobs_by_class) {
-        list += fmt::format(" {}:{}", job_class_name(cluster.names, job_class), count);
+        class_counts += fmt::format(" {}:{}", job_class_name(cluster.names, job_class), count);
     }
-    auto bound = std::count_if(cluster.jobs.begin(), cluster.jobs.end(), [zone](const Job& job) {
-        return active(job) && job.spec.zone == zone;
-    });
-    spdlog::info("zone {}: displaced jobs by class:{}; {} jobs are bound to it and wait", zone_name,
-                 list.empty() ? " none" : list, bound);
+    auto zone_bound_jobs =
+        std::count_if(cluster.jobs.begin(), cluster.jobs.end(),
+                      [zone](const Job& job) { return is_active(job) && job.spec.zone == zone; });
+    spdlog::info(
+        "zone {}: displaced jobs by class:{}; {} jobs may run only in this zone and wait for it",
+        zone_name, class_counts.empty() ? " none" : class_counts, zone_bound_jobs);
 }
 
 }  // namespace walkford
--- a/src/coordination/zone_failover/evacuation_reserve.hpp
+++ b/src/coordination/zone_failover/evacuation_reserve.hpp
@@ -1,5 +1,5 @@
-// Capacity reserved in the surviving zones for displaced work of higher classes: lower work does
-// not take the slots that it waits for.
+// Reserves capacity in the healthy zones for displaced jobs that are early in the placement order,
+// so that work that is placed after them does not take the slots that they wait for.
 #pragma once
 
 #include <vector>
@@ -8,48 +8,51 @@
 
 namespace walkford {
 
-// The claims of displaced work, and the free slots that could serve them, within one round of
-// placement. Owned by ZoneAdmission.
+// The claims of displaced jobs and the free slots that could serve them, within one placement
+// round. Owned by ZoneAdmission.
 class EvacuationReserve {
   public:
-    // Work of one class that is to be placed.
+    // The displaced tasks of one class, priority and evacuation position that are to be placed.
     struct Claim {
-        JobSpec shape;                 // what one task takes, and where it may run
-        int priority = 0;              // a higher one is placed first ...
-        int position = 0;              // ... and then a lower position in the evacuation order
-        std::uint32_t tasks = 0;       // to be placed
-        std::uint64_t free_slots = 0;  // tasks of that shape that fit the places counted
+        JobSpec shape;                 // resources of one task, and where it may run
+        int priority = 0;              // a higher priority is placed first
+        int position = 0;              // in the evacuation order; breaks ties, lower first
+        std::uint32_t tasks = 0;       // number of tasks to be placed
+        std::uint64_t free_slots = 0;  // number of such tasks that fit the counted targets
     };
-    // A machine's group, and what the machine has free.
-    struct Place {
+    // A machine that a task may be placed on: its type, zone and billing, and its free resources.
+    struct PlacementTarget {
         Id machine_type = kNone;
         Id zone = kNone;
         bool spot = false;
         Resources free;
     };
 
-    // Drops all claims.
+    // Removes all claims.
     void clear() { claims_.clear(); }
-    // Nothing is claimed.
+    // Returns whether there are no claims.
     bool empty() const { return claims_.empty(); }
     // All claims, in the order in which they were made.
     const std::vector<Claim>& claims() const { return claims_; }
 
-    // Tasks of one class, priority and position are counted together, by the shape first given.
-    void claim(const JobSpec& shape, int priority, int position, std::uint32_t tasks);
-    // Counts the slots of a place, once all claims are made.
-    void count(const Place& place);
-    // Must the place be left to work that is placed before a task of this size, priority and
-    // position?
-    bool blocks(const Resources& each, int priority, int position, const Place& place) const;
-    // A task of this size was put into the place.
-    void take(const Resources& each, const Place& place);
-    // A task that was claimed for was placed.
+    // Adds `tasks` to the claim of that class, priority and position. The shape of its first call
+    // stands for the whole claim.
+    void add_claim(const JobSpec& shape, int priority, int position, std::uint32_t tasks);
+    // Adds the target's free slots to every claim. Called after all claims have been added.
+    void count_free_slots(const PlacementTarget& target);
+    // Returns whether placing a task of this size, priority and position on the target would take
+    // slots that a claim earlier in the placement order needs.
+    bool blocks(const Resources& each, int priority, int position,
+                const PlacementTarget& target) const;
+    // Subtracts the slots that a task of this size takes when it is placed on the target.
+    void subtract_slots(const Resources& each, const PlacementTarget& target);
+    // Subtracts one placed task from its claim.
     void fulfill(Id job_class, int priority, int position);
 
   private:
-    std::vector<Claim>::iterator find(Id job_class, int priority, int position);
-    static std::uint32_t lost_slots(const Claim& claim, const Resources& each, const Place& place);
+    std::vector<Claim>::iterator find_claim(Id job_class, int priority, int position);
+    static std::uint32_t lost_slots(const Claim& claim, const Resources& each,
+                                    const PlacementTarget& target);
     std::vector<Claim> claims_;
 };
 
--- a/src/coordination/zone_failover/flap_penalty.cpp
+++ b/src/coordination/zone_failover/flap_penalty.cpp
@@ -6,15 +6,15 @@
 namespace walkford {
 
 void FlapPenalty::restore(Ms now, double value, bool suppressing) {
-    value_ = std::clamp(value, 0.0, settings_->flap_most);
+    value_ = std::clamp(value, 0.0, settings_->flap_max_penalty);
     value_at_ = now;
     suppressing_ = suppressing;
 }
 
 void FlapPenalty::add_loss(Ms now) {
-    value_ = std::min(value(now) + 1.0, settings_->flap_most);
+    value_ = std::min(value(now) + 1.0, settings_->flap_max_penalty);
     value_at_ = now;
-    suppressing_ = suppressing_ || value_ >= settings_->flap_suppress;
+    suppressing_ = suppressing_ || value_ >= settings_->flap_suppress_penalty;
 }
 
 double FlapPenalty::value(Ms now) const {
@@ -23,7 +23,7 @@
 }
 
 bool FlapPenalty::suppressing(Ms now) {
-    suppressing_ = suppressing_ && value(now) >= settings_->flap_reuse;
+    suppressing_ = suppressing_ && value(now) >= settings_->flap_reuse_penalty;
     return suppressing_;
 }
 
--- a/src/coordination/zone_failover/flap_penalty.hpp
+++ b/src/coordination/zone_failover/flap_penalty.hpp
@@ -1,5 +1,6 @@
-// A penalty that rises with each loss and decays by half in a set time, as in route flap damping
-// (RFC 2439). While it suppresses, a zone that looks healthy is still held down.
+// A penalty that rises with each loss of a zone and decays exponentially with a configured
+// half-life, as in route flap damping (RFC 2439). While it suppresses the zone, the zone stays lost
+// even if it looks healthy.
 #pragma once
 
 #include "bookkeeping/types.hpp"
@@ -7,26 +8,28 @@
 
 namespace walkford {
 
-// The penalty of one zone, in losses: each loss adds 1. Owned by ZoneHealth.
+// The flap penalty of one zone. Each loss adds 1. Owned by ZoneHealth.
 class FlapPenalty {
   public:
-    // No penalty yet. The settings must outlive it.
+    // Starts without a penalty. The settings must outlive it.
     explicit FlapPenalty(const ZoneFailoverSettings& settings) : settings_(&settings) {}
 
-    // Continues a penalty that an earlier leader left behind.
+    // Restores the penalty that an earlier leader stored.
     void restore(Ms now, double value, bool suppressing);
-    // The zone was lost. The penalty is capped, so that it is not held down for ever.
+    // Adds a loss of the zone. The penalty is capped, which bounds how long the zone can be
+    // suppressed.
     void add_loss(Ms now);
 
-    // The penalty now, decayed since the last loss.
+    // Returns the penalty at `now`, decayed since the last loss.
     double value(Ms now) const;
-    // The penalty reached the upper bound, and has not fallen below the lower one since.
+    // Returns whether the penalty has reached the suppress threshold and has not fallen below the
+    // reuse threshold since.
     bool suppressing(Ms now);
 
   private:
     const ZoneFailoverSettings* settings_;
-    double value_ = 0;  // as it was at ...
-    Ms value_at_ = 0;   // ... this time
+    double value_ = 0;  // the penalty at value_at_
+    Ms value_at_ = 0;
     bool suppressing_ = false;
 };
 
--- a/src/coordination/zone_failover/log_format.hpp
+++ b/src/coordination/zone_failover/log_format.hpp
@@ -1,4 +1,4 @@
-// Helpers for the log lines of zone failover.
+// Formatting helpers for the log messages of zone failover.
 #pragma once
 
 #include <string>
@@ -7,10 +7,10 @@
 
 namespace walkford {
 
-// A span in seconds.
+// Converts a time span from milliseconds to seconds.
 inline double to_seconds(Ms span) { return static_cast<double>(span) / 1000.0; }
 
-// The name of a job class; "-" for jobs without one.
+// Returns the name of a job class, or "-" for jobs without a class.
 inline std::string job_class_name(const Names& names, Id job_class) {
     return job_class == kNone ? "-" : names.job_classes.name(job_class);
 }
--- a/src/coordination/zone_failover/recovery_ramp.hpp
+++ b/src/coordination/zone_failover/recovery_ramp.hpp
@@ -1,5 +1,5 @@
-// How much of a returned zone may be used: a slow start from a small share of its capacity to all
-// of it. A ramp cut short by a flap halves the next one's first share.
+// Limits the use of a zone that recovers: a slow start from a small share of its capacity to all of
+// it. Each ramp that another loss interrupts halves the first share of the next one.
 #pragma once
 
 #include "bookkeeping/types.hpp"
@@ -7,17 +7,21 @@
 
 namespace walkford {
 
-// The limits of a zone that is lost or returning. Made where it is needed; holds no state.
+// The limits of a zone that is lost or returning. Constructed on demand; it has no state of its
+// own.
 class RecoveryRamp {
   public:
-    // `failed_ramps`: how many ramps a flap cut short since the last complete one.
+    // `failed_ramps` is the number of ramps that another loss interrupted since the last complete
+    // one. The settings must outlive it.
     RecoveryRamp(const ZoneFailoverSettings& settings, std::uint32_t failed_ramps);
 
-    // The share of the zone's capacity that the ramp begins with.
+    // The share of the zone's capacity at the start of the ramp.
     double first_share() const;
-    // The share of the zone's capacity that may be allocated, so long after the zone's return.
+    // The share of the zone's capacity that may be allocated when `elapsed` has passed since the
+    // ramp started.
     double share(Ms elapsed) const;
-    // How many machines may be on their way to the zone, with so many reporting there.
+    // The most machines of the zone that may be requested or booting at a time, given the number
+    // that report there.
     std::uint32_t unproven_machines(std::uint32_t reporting) const {
         return settings_->probe_machines + reporting;
     }
--- a/src/coordination/zone_failover/zone_admission.cpp
+++ b/src/coordination/zone_failover/zone_admission.cpp
@@ -18,7 +18,7 @@
     for (Id zone = 0; zone < zones_.size(); ++zone) {
         compute_budget(now, zone, free_capacity);
     }
-    if (evacuating && holds_reserve(now)) {
+    if (evacuating && reserve_needed(now)) {
         build_reserve(free_capacity);
     }
 }
@@ -61,10 +61,11 @@
     }
 }
 
-// Capacity is reserved only for a while after a zone began to fail.
-bool ZoneAdmission::holds_reserve(Ms now) const {
+// Capacity is reserved only for a limited time after a zone began to fail.
+bool ZoneAdmission::reserve_needed(Ms now) const {
     for (Id zone = 0; zone < zones_.size(); ++zone) {
-        if (zones_.failing(zone) && now < zones_[zone].failing_since + to_ms(settings_.hold_s)) {
+        if (zones_.failing(zone) &&
+            now < zones_[zone].failing_since + to_ms(settings_.reserve_duration_s)) {
             return true;
         }
     }
@@ -86,12 +87,13 @@
         if (class_position == displaced_.order().last_position() || job.cancelled) {
             continue;
         }
-        auto leaving = job.zones.find(displaced_.zone_of(job_id));
-        std::uint32_t tasks = leaving == job.zones.end() ? 0 : leaving->second;
+        auto tasks_in_zone = job.zones.find(displaced_.zone_of(job_id));
+        std::uint32_t tasks = tasks_in_zone == job.zones.end() ? 0 : tasks_in_zone->second;
         tasks += std::min(static_cast<std::uint32_t>(job.retry_queue.size()),
                           cluster.quota_headroom(job.spec.team, job.spec.task_resources));
         if (tasks > 0) {
-            reserve_.claim(job.spec, static_cast<int>(job.spec.priority), class_position, tasks);
+            reserve_.add_claim(job.spec, static_cast<int>(job.spec.priority), class_position,
+                               tasks);
         }
     }
 }
@@ -102,13 +104,13 @@
             continue;
         }
         for (const FreeCapacity::MachineCapacity& capacity : machine_group.machines) {
-            reserve_.count({machine_group.machine_type, machine_group.zone, machine_group.spot,
-                            capacity.free});
+            reserve_.count_free_slots({machine_group.machine_type, machine_group.zone,
+                                       machine_group.spot, capacity.free});
         }
     }
 }
 
-bool ZoneAdmission::bound_to(const Job& job, Id zone) {
+bool ZoneAdmission::is_bound_to(const Job& job, Id zone) {
     return job.spec.zone == zone || (job.spec.one_zone && job.zones.count(zone) > 0);
 }
 
@@ -122,40 +124,42 @@
     if (waited_long) {
         return true;
     }
-    if (zones_.lost(zone) && !bound_to(job, zone)) {
+    if (zones_.lost(zone) && !is_bound_to(job, zone)) {
         return false;
     }
-    std::uint32_t together = job.spec.gang() ? job.spec.tasks - job.assigned : 1;
-    Resources wanted = job.spec.task_resources * static_cast<double>(together);
-    return budget.empty || wanted.fits_in(budget.capacity);
+    std::uint32_t task_count = job.spec.gang() ? job.spec.tasks - job.assigned : 1;
+    Resources requested = job.spec.task_resources * static_cast<double>(task_count);
+    return budget.empty || requested.fits_in(budget.capacity);
 }
 
 bool ZoneAdmission::admits_fetch(Id zone, int fetches) const {
-    return static_cast<std::uint32_t>(fetches) < settings_.fetches_per_machine &&
-           budgets_[zone].fetches < settings_.fetches_per_zone;
+    return static_cast<std::uint32_t>(fetches) < settings_.max_fetches_per_machine &&
+           budgets_[zone].fetches < settings_.max_fetches_per_zone;
 }
 
-bool ZoneAdmission::reserved(Id job, int priority, const EvacuationReserve::Place& place) const {
+bool ZoneAdmission::reserved(Id job, int priority,
+                             const EvacuationReserve::PlacementTarget& target) const {
     if (reserve_.empty()) {
         return false;
     }
     return reserve_.blocks(context_.cluster.jobs[job].spec.task_resources, priority,
-                           displaced_.evacuation_position(context_.cluster, job), place);
+                           displaced_.evacuation_position(context_.cluster, job), target);
 }
 
-void ZoneAdmission::add_placed_task(Id job_id, const EvacuationReserve::Place& place,
+void ZoneAdmission::add_placed_task(Id job_id, const EvacuationReserve::PlacementTarget& target,
                                     bool fetches) {
     const Job& job = context_.cluster.jobs[job_id];
-    reserve_.take(job.spec.task_resources, place);
+    reserve_.subtract_slots(job.spec.task_resources, target);
     reserve_.fulfill(job.spec.job_class, static_cast<int>(job.spec.priority),
                      displaced_.evacuation_position(context_.cluster, job_id));
-    if (place.zone >= budgets_.size()) {
+    if (target.zone >= budgets_.size()) {
         return;
     }
-    Budget& budget = budgets_[place.zone];
+    Budget& budget = budgets_[target.zone];
     budget.capacity -= job.spec.task_resources;
     budget.fetches += fetches;
-    // The rest of a gang follows its first member.
+    // The empty zone's exemption covers a whole gang, so it stays until all tasks of the gang are
+    // placed.
     budget.empty = budget.empty && job.spec.gang() && job.assigned < job.spec.tasks;
     if (job.spec.service()) {
         ++budget.replicas_starting;
--- a/src/coordination/zone_failover/zone_evidence.hpp
+++ b/src/coordination/zone_failover/zone_evidence.hpp
@@ -1,4 +1,4 @@
-// What a leader observes of one zone at one moment.
+// The leader's observations of one zone at one point in time.
 #pragma once
 
 #include <cstdint>
@@ -6,27 +6,36 @@
 
 namespace walkford {
 
-// Observed every half second by ZoneObserver; ZoneHealth evaluates it.
+// ZoneObserver collects it every half second, and ZoneHealth evaluates it.
 struct ZoneEvidence {
-    std::uint32_t machines = 0;         // that should report ...
-    std::uint32_t silent_machines = 0;  // ... and do not, or were taken away unannounced lately
-    std::uint32_t controllers = 0;      // that the settings place in the zone ...
-    std::uint32_t reachable_controllers = 0;  // ... and whose heartbeats arrive
-    bool relayed = false;            // a controller inside answers its workers: a network partition
-    bool scale_out_refused = false;  // the cloud refused a scale-out request there lately
-    bool other_zones_reporting = true;  // machines of other zones report
-    // The observer's own lease and view are confirmed, and it has led for long enough.
+    // Machines that are expected to report, including the silent ones.
+    std::uint32_t machines = 0;
+    // Machines that are expected to report and do not, or that were recently lost without notice.
+    std::uint32_t silent_machines = 0;
+    // Controllers that the settings place in the zone.
+    std::uint32_t controllers = 0;
+    // Controllers of the zone whose heartbeats arrive.
+    std::uint32_t reachable_controllers = 0;
+    // A controller in the zone answers its workers in place of the leader: the zone is partitioned
+    // from the leader but not lost.
+    bool relayed = false;
+    // The cloud recently refused a scale-out request in the zone.
+    bool scale_out_refused = false;
+    // At least one machine of another zone reports.
+    bool other_zones_reporting = true;
+    // The leader's lease and its view of the store are confirmed, and it has led for long enough
+    // for machines to find it.
     bool conclusive = true;
 
-    // Machines that should report, and do.
+    // The number of machines that report.
     std::uint32_t reporting_machines() const { return machines - silent_machines; }
-    // The share of machines that are silent, from 0 to 1; 0 without machines.
+    // The share of machines that are silent, from 0 to 1, or 0 if there are no machines.
     double silent_share() const {
         return machines == 0 ? 0.0 : static_cast<double>(silent_machines) / machines;
     }
 };
 
-// The evidence in words, for the log.
+// Formats the evidence for the log.
 std::string describe(const ZoneEvidence& evidence);
 
 }  // namespace walkford
--- a/src/coordination/zone_failover/zone_failover_manager.cpp
+++ b/src/coordination/zone_failover/zone_failover_manager.cpp
@@ -54,7 +54,7 @@
     update_restrictions();
 }
 
-// ---- states of the zones
+// ---- zone states
 
 void ZoneFailoverManager::load(Ms now) {
     loaded_ = true;
@@ -78,8 +78,8 @@
     if (before == ZoneState::up || before == ZoneState::returning) {
         zone.failing_since = now;
     }
-    bool suspicion = before == ZoneState::suspect || after == ZoneState::suspect;
-    if (suspicion && after != ZoneState::lost) {
+    bool suspect_transition = before == ZoneState::suspect || after == ZoneState::suspect;
+    if (suspect_transition && after != ZoneState::lost) {
         spdlog::info("zone {}: {} -> {} ({})", zone.name, name_of(before), name_of(after),
                      describe(zone.evidence));
     }
@@ -88,18 +88,18 @@
     }
 }
 
-// From now on the record is acted on.
+// Applies the record: from now on it restricts placement and scaling.
 void ZoneFailoverManager::on_record_durable(Ms now, Id zone_id, const ZoneRecord& record) {
     ZoneStatus& zone = zones_[zone_id];
     ZoneState before = zone.durable.state;
     zone.durable = record;
-    zone.durable_since = now - record.in_state;
+    zone.durable_since = now - record.time_in_state;
     if (before == record.state) {
         return;
     }
-    spdlog::info("zone {}: {} -> {} ({}), penalty {:.2f}{}", zone.name, name_of(before),
+    spdlog::info("zone {}: {} -> {} ({}), flap penalty {:.2f}{}", zone.name, name_of(before),
                  name_of(record.state), describe(zone.evidence), record.penalty,
-                 record.suppressing ? ", held down" : "");
+                 record.suppressing ? ", return suppressed" : "");
     if (record.state == ZoneState::lost) {
         marker_.log_loss(zone_id, zone.name);
     }
@@ -116,13 +116,16 @@
             failing_zones.insert(zone);
         }
     }
-    for (const DisplacedWork::ClassDone& done :
+    for (const DisplacedWork::FinishedClass& finished :
          displaced_.collect_finished(now, context_.cluster, failing_zones)) {
-        spdlog::info("zone {}: displaced work of {} runs again, {} jobs after {:.1f} s{}",
-                     zones_[done.zone].name,
-                     job_class_name(context_.controller.names, done.job_class), done.run_again,
-                     to_seconds(done.took),
-                     done.ended > 0 ? fmt::format(", {} ended meanwhile", done.ended) : "");
+        spdlog::info("zone {}: evacuation of class {} finished: {} jobs run again after {:.1f} s{}",
+                     zones_[finished.zone].name,
+                     job_class_name(context_.controller.names, finished.job_class),
+                     finished.run_again, to_seconds(finished.duration),
+                     finished.ended > 0
+                         ? fmt::format(", {} jobs ended or were cancelled before they ran again",
+                                       finished.ended)
+                         : "");
     }
 }
 
@@ -151,7 +154,7 @@
 void ZoneFailoverManager::begin_round(Ms now, const FreeCapacity& free_capacity) {
     now_ = now;
     admission_.clear_reserve();
-    if (restricts()) {
+    if (has_restrictions()) {
         admission_.begin_round(now, free_capacity, evacuating_);
     }
 }
@@ -165,13 +168,14 @@
 }
 
 bool ZoneFailoverManager::reserved(Id job, int priority,
-                                   const EvacuationReserve::Place& place) const {
-    return admission_.reserved(job, priority, place);
+                                   const EvacuationReserve::PlacementTarget& target) const {
+    return admission_.reserved(job, priority, target);
 }
 
-void ZoneFailoverManager::placed(Id job, const EvacuationReserve::Place& place, bool fetches) {
+void ZoneFailoverManager::on_task_placed(Id job, const EvacuationReserve::PlacementTarget& target,
+                                         bool fetches) {
     if (restricts_ || admission_.has_reserve()) {
-        admission_.add_placed_task(job, place, fetches);
+        admission_.add_placed_task(job, target, fetches);
     }
 }
 
@@ -183,7 +187,7 @@
 // ---- scaling
 
 bool ZoneFailoverManager::waited_long(Id job) const {
-    return now_ >= context_.cluster.jobs[job].waiting_since + to_ms(settings_.wait_most_s);
+    return now_ >= context_.cluster.jobs[job].waiting_since + to_ms(settings_.max_wait_s);
 }
 
 std::uint32_t ZoneFailoverManager::scale_out_allowance(Id zone, std::uint32_t reporting,
@@ -192,13 +196,13 @@
     if (!restricts_ || zones_.unrestricted(zone)) {
         return kUnlimited;
     }
-    bool tried = for_job != kNone && waited_long(for_job);
-    if (lost(zone) && zones_.any_up() && !tried) {
+    bool may_use_lost_zone = for_job != kNone && waited_long(for_job);
+    if (lost(zone) && zones_.any_up() && !may_use_lost_zone) {
         return 0;
     }
     RecoveryRamp ramp(settings_, zones_[zone].durable.failed_ramps);
-    std::uint32_t most = ramp.unproven_machines(reporting);
-    return most - std::min(most, provisioning);
+    std::uint32_t max_unproven = ramp.unproven_machines(reporting);
+    return max_unproven - std::min(max_unproven, provisioning);
 }
 
 std::uint32_t ZoneFailoverManager::open_zones() const {
--- a/src/coordination/zone_failover/zone_failover_manager.hpp
+++ b/src/coordination/zone_failover/zone_failover_manager.hpp
@@ -1,5 +1,5 @@
-// The leader's part in zone failover: observes the zones, keeps each one's record durable, and
-// answers what follows from it for placement and scaling. docs/zone-failover.md has the reasons.
+// The leader's zone failover: observes the zones, stores a record of each zone's health, and
+// applies the durable records to placement and scaling. docs/zone-failover.md explains the design.
 #pragma once
 
 #include "bookkeeping/free_capacity.hpp"
@@ -17,58 +17,65 @@
 
 namespace walkford {
 
-// Composes the classes of this folder and is what the rest of the leader sees of them. Owned by the
-// leader for one term.
+// Combines the classes of this directory and is the interface that the rest of the leader uses.
+// Owned by the leader for one term.
 class ZoneFailoverManager {
   public:
-    // All zones are taken as up until the first tick. The context must outlive it.
+    // Treats all zones as up until the first tick. The context must outlive it.
     explicit ZoneFailoverManager(LeaderContext& context);
-    // Its parts refer to one another.
+    // Not copyable, because its members hold references to one another.
     ZoneFailoverManager(const ZoneFailoverManager&) = delete;
     ZoneFailoverManager& operator=(const ZoneFailoverManager&) = delete;
 
-    // Observes and evaluates the zones when that is due. Called in each step of the leader.
+    // Observes and evaluates the zones at a fixed interval. Called in each step of the leader.
     void tick(Ms now, const WorkerManager& workers, const CloudManager& cloud);
 
-    // Switched on, and all controllers read its records.
+    // Returns whether zone failover is enabled and all controllers can read its records.
     bool active() const;
 
-    // ---- for placement
-    // Called at the beginning of each round of placement.
+    // ---- placement
+    // Called at the start of each placement round.
     void begin_round(Ms now, const FreeCapacity& free_capacity);
-    // Some zone is restricted or work is displaced, so that the questions below have to be asked.
-    bool restricts() const { return restricts_ || evacuating_; }
-    // May a task of the job (of a gang: all of them) start in the zone now?
+    // Returns whether a zone is restricted or work is displaced. Otherwise the checks below always
+    // allow the placement and can be skipped.
+    bool has_restrictions() const { return restricts_ || evacuating_; }
+    // Returns whether a task of the job (for a gang, all of its tasks) may start in the zone now.
     bool admits(Id job, Id zone) const;
-    // May a machine there start an image fetch, with so many fetches under way on it?
+    // Returns whether a machine of the zone that has `fetches` image fetches in progress may start
+    // another one.
     bool admits_fetch(Id zone, int fetches) const;
-    // Is the place left to displaced work that is placed before the job?
-    bool reserved(Id job, int priority, const EvacuationReserve::Place& place) const;
-    // A task was placed; `place` as it was before.
-    void placed(Id job, const EvacuationReserve::Place& place, bool fetches);
-    // Capacity may be reserved, and other work preempted, there as in any zone.
+    // Returns whether the target's capacity is reserved for displaced work that is placed before
+    // the job.
+    bool reserved(Id job, int priority, const EvacuationReserve::PlacementTarget& target) const;
+    // Accounts for a placed task. `target` is the state before the placement.
+    void on_task_placed(Id job, const EvacuationReserve::PlacementTarget& target, bool fetches);
+    // Returns whether capacity may be reserved and work preempted in the zone without restriction.
     bool open(Id zone) const { return zones_.open(zone); }
-    // The job can run in a lost zone only: it waits, and nobody waits for it.
+    // Returns whether the job may run only in a zone that is lost. Such a job waits, and no other
+    // work waits for it.
     bool waits_for_zone(Id job) const;
 
-    // ---- the order of displaced work
-    // Some zone fails or returns, and displaced work does not run again yet.
+    // ---- evacuation order
+    // Returns whether a zone is failing or returning and displaced work does not run again yet.
     bool evacuating() const { return evacuating_; }
-    // The job's position in the evacuation order, 0 first; the last one if it is not displaced.
+    // Returns the job's position in the evacuation order. Position 0 is placed first; jobs that are
+    // not displaced have the last position.
     int evacuation_position(Id job) const;
-    // Since when the job's waiting counts: an older wait gives displaced work no advantage.
+    // Returns the time from which the job's wait is counted. For displaced work it is not before
+    // the displacement, so that an earlier wait gives no advantage.
     Ms waits_since(Id job) const;
 
-    // ---- for scaling
-    // Silent machines there are no capacity any more.
+    // ---- scaling
+    // Returns whether the zone is lost, so that its silent machines no longer count as capacity.
     bool lost(Id zone) const { return zones_.lost(zone); }
-    // How many more machines may be requested there, with so many reporting and so many on their
-    // way, for a job that fits nowhere (kNone: for work that could be elsewhere).
+    // Returns how many more machines may be requested in the zone, given the numbers of machines
+    // that report there and that are requested or booting. `for_job` is a job that fits on no
+    // existing machine; kNone stands for work that could also run in other zones.
     std::uint32_t scale_out_allowance(Id zone, std::uint32_t reporting, std::uint32_t provisioning,
                                       Id for_job) const;
-    // The job has waited so long that a restricted zone is tried for it.
+    // Returns whether the job has waited so long that it may use a restricted zone.
     bool waited_long(Id job) const;
-    // Over how many zones scale-out for displaced work is divided; at least one.
+    // Returns the number of zones over which scale-out for displaced work is divided, at least one.
     std::uint32_t open_zones() const;
 
   private:
@@ -87,9 +94,9 @@
     DisplacedWorkMarker marker_;
     ZoneAdmission admission_;
     bool loaded_ = false;
-    bool restricts_ = false;   // some zone is lost or returning
-    bool evacuating_ = false;  // some zone is not healthy, and work is displaced
-    Ms now_ = 0;               // of the last tick or round
+    bool restricts_ = false;   // a zone is lost or returning
+    bool evacuating_ = false;  // a zone is not healthy, and work is displaced
+    Ms now_ = 0;               // time of the last tick or placement round
     Ms next_observation_at_ = 0;
 };
 
--- a/src/coordination/zone_failover/zone_health.cpp
+++ b/src/coordination/zone_failover/zone_health.cpp
@@ -11,13 +11,13 @@
                        std::to_string(evidence.reachable_controllers) + " of " +
                        std::to_string(evidence.controllers) + " controllers reachable";
     if (evidence.relayed) {
-        text += ", a controller inside answers its workers";
+        text += ", a controller in the zone answers its workers for the leader";
     }
     if (evidence.scale_out_refused) {
-        text += ", a scale-out request there was refused";
+        text += ", the cloud refused a scale-out request in the zone";
     }
     if (!evidence.other_zones_reporting) {
-        text += ", no machine reports anywhere else";
+        text += ", no machine of another zone reports";
     }
     return text;
 }
@@ -35,18 +35,19 @@
 
 void ZoneHealth::restore(Ms now, const ZoneRecord& record) {
     state_ = record.state;
-    since_ = now - record.in_state;
+    since_ = now - record.time_in_state;
     failed_ramps_ = record.failed_ramps;
     penalty_.restore(now, record.penalty, record.suppressing);
 }
 
 ZoneRecord ZoneHealth::record(Ms now) {
-    return {state_, in_state(now), penalty_.value(now), penalty_.suppressing(now), failed_ramps_};
+    return {state_, time_in_state(now), penalty_.value(now), penalty_.suppressing(now),
+            failed_ramps_};
 }
 
 bool ZoneHealth::observe(Ms now, const ZoneEvidence& evidence) {
     if (!evidence.conclusive) {
-        // No condition is counted across a time without conclusive evidence.
+        // A condition must not be counted as sustained across a time without conclusive evidence.
         reset_conditions();
         return false;
     }
@@ -69,7 +70,7 @@
 }
 
 bool ZoneHealth::enough_machines(const ZoneEvidence& evidence) const {
-    return evidence.machines >= settings_->least_machines;
+    return evidence.machines >= settings_->min_machines;
 }
 
 bool ZoneHealth::suspicious(const ZoneEvidence& evidence) const {
@@ -88,7 +89,7 @@
     if (evidence.reachable_controllers > 0 && !evidence.scale_out_refused) {
         span *= 2;
     }
-    // It may be this controller that is cut off.
+    // If no other zone reports either, this controller itself may be partitioned.
     if (!evidence.other_zones_reporting) {
         span *= 2;
     }
@@ -126,19 +127,19 @@
     }
     bool loss_indicated =
         enough_machines(evidence) && evidence.silent_share() >= settings_->lost_share;
-    bool lasting = silent_condition_.update(now, loss_indicated) >= confirmation_span(evidence);
-    if (loss_indicated && lasting) {
+    bool sustained = silent_condition_.update(now, loss_indicated) >= confirmation_span(evidence);
+    if (loss_indicated && sustained) {
         enter_lost(now);
     }
 }
 
 void ZoneHealth::observe_lost(Ms now, const ZoneEvidence& evidence) {
-    bool healthy_long =
-        healthy_condition_.update(now, healthy(evidence)) >= to_ms(settings_->return_s);
-    bool few_machines_long = few_machines_condition_.update(now, !enough_machines(evidence)) >=
-                             to_ms(settings_->probe_s);
-    bool recovered =
-        (healthy(evidence) && healthy_long) || (!enough_machines(evidence) && few_machines_long);
+    bool sustained_healthy =
+        healthy_condition_.update(now, healthy(evidence)) >= to_ms(settings_->recovery_s);
+    bool sustained_few_machines = few_machines_condition_.update(now, !enough_machines(evidence)) >=
+                                  to_ms(settings_->empty_zone_retry_s);
+    bool recovered = (healthy(evidence) && sustained_healthy) ||
+                     (!enough_machines(evidence) && sustained_few_machines);
     if (recovered && !penalty_.suppressing(now)) {
         enter_state(now, ZoneState::returning);
     }
@@ -146,13 +147,13 @@
 
 void ZoneHealth::observe_returning(Ms now, const ZoneEvidence& evidence) {
     bool failing = suspicious(evidence);
-    bool lasting = silent_condition_.update(now, failing) >= confirmation_span(evidence) / 2;
-    if (failing && lasting) {
+    bool sustained = silent_condition_.update(now, failing) >= confirmation_span(evidence) / 2;
+    if (failing && sustained) {
         ++failed_ramps_;
         enter_lost(now);
         return;
     }
-    if (!failing && in_state(now) >= to_ms(settings_->ramp_s)) {
+    if (!failing && time_in_state(now) >= to_ms(settings_->ramp_s)) {
         failed_ramps_ = 0;
         enter_state(now, ZoneState::up);
     }
--- a/src/coordination/zone_failover/zone_health.hpp
+++ b/src/coordination/zone_failover/zone_health.hpp
@@ -1,5 +1,5 @@
-// Evaluates one zone from what is observed of it: up, suspect, lost or returning
-// (docs/zone-failover.md has the table).
+// Derives the state of one zone (up, suspect, lost or returning) from the evidence observed in it.
+// docs/zone-failover.md has the table of state transitions.
 #pragma once
 
 #include <optional>
@@ -13,35 +13,36 @@
 // The state machine of one zone. Owned by ZoneStatus.
 class ZoneHealth {
   public:
-    // A zone that is up. The settings must outlive it.
+    // Starts in the state up. The settings must outlive it.
     explicit ZoneHealth(const ZoneFailoverSettings& settings);
 
-    // Continues where an earlier leader stopped.
+    // Continues from the record that an earlier leader stored.
     void restore(Ms now, const ZoneRecord& record);
-    // What would let another leader continue.
+    // Returns the record from which another leader can continue.
     ZoneRecord record(Ms now);
 
-    // Takes in an observation; true if the state changed.
+    // Processes an observation. Returns whether the state changed.
     bool observe(Ms now, const ZoneEvidence& evidence);
 
-    // The state by the last conclusive observation.
+    // The state after the last conclusive observation.
     ZoneState state() const { return state_; }
-    // How long it has been in that state.
-    Ms in_state(Ms now) const { return now - since_; }
-    // The flap penalty now, in losses.
+    // How long the zone has been in its state.
+    Ms time_in_state(Ms now) const { return now - since_; }
+    // The flap penalty at `now`. Each loss adds 1.
     double penalty(Ms now) const { return penalty_.value(now); }
-    // How many ramps a flap cut short since the last complete one.
+    // How many recovery ramps another loss interrupted since the last complete one.
     std::uint32_t failed_ramps() const { return failed_ramps_; }
-    // Held down although it looks healthy.
+    // Returns whether the flap penalty keeps the lost zone from returning, even if it looks
+    // healthy.
     bool suppressed(Ms now) { return state_ == ZoneState::lost && penalty_.suppressing(now); }
 
   private:
-    // A condition that has to hold for some time without a break.
+    // Measures for how long a condition has held without interruption.
     class SustainedCondition {
       public:
-        // Takes in whether it holds now; returns for how long it has, 0 if it does not.
+        // Updates the condition. Returns for how long it has held, or 0 if it does not hold.
         Ms update(Ms now, bool holds);
-        // As if it had not held until now.
+        // Restarts the measurement, as if the condition had never held.
         void reset() { since_ = -1; }
 
       private:
--- a/src/coordination/zone_failover/zone_observer.cpp
+++ b/src/coordination/zone_failover/zone_observer.cpp
@@ -3,17 +3,17 @@
 namespace walkford {
 
 namespace {
-// The view is confirmed each second while the state service answers.
+// The view is confirmed each second while the store answers.
 constexpr Ms kMaxConfirmationAge = 3000;
 constexpr Ms kControllerHeartbeatSpan = 5000;
-// A machine that was lost without notice counts as silent for so long.
-constexpr Ms kLostMachineCounts = 30000;
-// How long machines take to find a new leader, beyond two report intervals.
-constexpr Ms kFindLeader = 3000;
+// How long a machine that was lost without notice counts as silent.
+constexpr Ms kLostMachineSilentSpan = 30000;
+// The time that machines may need to find a new leader, in addition to two report intervals.
+constexpr Ms kFindLeaderSpan = 3000;
 }  // namespace
 
 void ZoneObserver::observe(Ms now, const WorkerManager& workers, const CloudManager& cloud) {
-    bool conclusive = context_.holds_lease && now > judging_since() &&
+    bool conclusive = context_.holds_lease && now > evidence_valid_since() &&
                       context_.replica_confirmed_until >= now - kMaxConfirmationAge;
     for (Id zone = 0; zone < zones_.size(); ++zone) {
         zones_[zone].evidence = {};
@@ -33,10 +33,10 @@
     }
 }
 
-// A new leader has yet to be found by the machines.
-Ms ZoneObserver::judging_since() const {
+// Evidence is valid only after the machines have had time to find a new leader.
+Ms ZoneObserver::evidence_valid_since() const {
     return context_.elected_at + to_ms(2 * context_.controller.platform_settings.report_s) +
-           kFindLeader;
+           kFindLeaderSpan;
 }
 
 void ZoneObserver::observe_machines(Ms now, const WorkerManager& workers) {
@@ -58,32 +58,35 @@
                                                          MachineWatch& watch,
                                                          const WorkerManager& workers) const {
     if (machine.terminated || machine.releasing) {
-        return observe_left_machine(now, machine, watch);
+        return observe_removed_machine(now, machine, watch);
     }
     bool reporting = workers.reported_recently(machine, now);
-    // A machine whose reclaim the cloud announced says nothing of its zone.
+    // The silence of a machine whose reclaim the cloud announced says nothing about its zone.
     watch.reclaim_announced =
         machine.worker.reclaim_at >= 0 || (watch.reclaim_announced && !reporting);
     if (!expects_report(machine, now) || watch.reclaim_announced) {
-        watch.last = ReportStatus::not_expected;
+        watch.last_status = ReportStatus::not_expected;
     } else {
-        watch.last = reporting ? ReportStatus::reporting : ReportStatus::silent;
+        watch.last_status = reporting ? ReportStatus::reporting : ReportStatus::silent;
     }
-    return watch.last;
+    return watch.last_status;
 }
 
-ZoneObserver::ReportStatus ZoneObserver::observe_left_machine(Ms now, const Machine& machine,
-                                                              MachineWatch& watch) const {
-    if (!watch.left) {
-        watch.left = true;
-        // Released for its silence; or taken without notice, perhaps before it found this leader.
-        bool never_met = !machine.worker.reported && !machine.requested_by_this_leader;
-        bool lost = machine.releasing ? watch.last == ReportStatus::silent
-                                      : watch.last != ReportStatus::not_expected || never_met;
+ZoneObserver::ReportStatus ZoneObserver::observe_removed_machine(Ms now, const Machine& machine,
+                                                                 MachineWatch& watch) const {
+    if (!watch.removed) {
+        watch.removed = true;
+        // The machine counts as lost if it was released because it was silent, or if the
+        // cloud took it without notice, which may have happened before the machine found this
+        // leader.
+        bool unknown_to_leader = !machine.worker.reported && !machine.requested_by_this_leader;
+        bool lost = machine.releasing
+                        ? watch.last_status == ReportStatus::silent
+                        : watch.last_status != ReportStatus::not_expected || unknown_to_leader;
         watch.lost_at = lost ? now : -1;
     }
-    bool counts = watch.lost_at >= 0 && now < watch.lost_at + kLostMachineCounts;
-    return counts ? ReportStatus::silent : ReportStatus::not_expected;
+    bool counts_as_silent = watch.lost_at >= 0 && now < watch.lost_at + kLostMachineSilentSpan;
+    return counts_as_silent ? ReportStatus::silent : ReportStatus::not_expected;
 }
 
 bool ZoneObserver::expects_report(const Machine& machine, Ms now) const {
@@ -91,19 +94,20 @@
         return false;
     }
     // A machine that an earlier leader used, or that the cloud lists as running, has a worker that
-    // should have found this leader by now.
-    bool was_up = machine.listing.state == CloudMachineState::running || !machine.tasks.empty();
+    // is expected to have found this leader by now.
+    bool was_running =
+        machine.listing.state == CloudMachineState::running || !machine.tasks.empty();
     return machine.worker.reported ||
-           (!machine.requested_by_this_leader && was_up && now > judging_since());
+           (!machine.requested_by_this_leader && was_running && now > evidence_valid_since());
 }
 
 void ZoneObserver::observe_controllers(Ms now) {
     const PlatformSettings& platform_settings = context_.controller.platform_settings;
     for (Id zone_id = 0; zone_id < zones_.size(); ++zone_id) {
         ZoneStatus& zone = zones_[zone_id];
-        bool own = platform_settings.zone == zone.name;
-        zone.evidence.controllers = own;
-        zone.evidence.reachable_controllers = own;
+        bool is_own_zone = platform_settings.zone == zone.name;
+        zone.evidence.controllers = is_own_zone;
+        zone.evidence.reachable_controllers = is_own_zone;
         for (std::size_t peer = 0; peer < platform_settings.peers.size(); ++peer) {
             if (platform_settings.peers[peer].zone != zone.name) {
                 continue;
--- a/src/coordination/zone_failover/zone_record.cpp
+++ b/src/coordination/zone_failover/zone_record.cpp
@@ -6,10 +6,10 @@
 namespace walkford {
 
 namespace {
-// By the value of ZoneState.
+// Indexed by the value of ZoneState.
 constexpr std::array<std::string_view, 4> kStateNames{"up", "suspect", "lost", "returning"};
 
-std::optional<ZoneState> state_named(std::string_view name) {
+std::optional<ZoneState> parse_state(std::string_view name) {
     for (std::size_t state = 0; state < kStateNames.size(); ++state) {
         if (kStateNames[state] == name) {
             return static_cast<ZoneState>(state);
@@ -25,7 +25,7 @@
 
 nlohmann::json encode_zone(const ZoneRecord& record) {
     return {{"s", name_of(record.state)},
-            {"e", record.in_state},
+            {"e", record.time_in_state},
             {"p", record.penalty},
             {"d", record.suppressing},
             {"f", record.failed_ramps}};
@@ -33,14 +33,14 @@
 
 std::optional<ZoneRecord> decode_zone(const nlohmann::json& value) {
     try {
-        auto state = state_named(value.at("s").get<std::string>());
+        auto state = parse_state(value.at("s").get<std::string>());
         ZoneRecord record;
-        record.in_state = value.at("e").get<Ms>();
+        record.time_in_state = value.at("e").get<Ms>();
         record.penalty = value.at("p").get<double>();
         record.suppressing = value.at("d").get<bool>();
         record.failed_ramps = value.at("f").get<std::uint32_t>();
-        bool valid =
-            state && record.in_state >= 0 && std::isfinite(record.penalty) && record.penalty >= 0;
+        bool valid = state && record.time_in_state >= 0 && std::isfinite(record.penalty) &&
+                     record.penalty >= 0;
         if (!valid) {
             return std::nullopt;
         }
--- a/src/coordination/zone_failover/zone_record.hpp
+++ b/src/coordination/zone_failover/zone_record.hpp
@@ -1,5 +1,5 @@
-// The durable form of a zone's failover state. Only spans are stored: a steady clock means nothing
-// to another process.
+// The stored form of a zone's failover state. It holds durations instead of points in time, because
+// the steady clock of one process has no meaning in another.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,29 +10,30 @@
 
 namespace walkford {
 
-// The health of a zone, as docs/zone-failover.md has it.
+// The health of a zone. docs/zone-failover.md describes the states and their transitions.
 enum class ZoneState : std::uint8_t {
     up,
-    suspect,    // many machines are silent: nothing is restricted yet
-    lost,       // confirmed: its work is displaced
-    returning,  // healthy again: used by a slow start
+    suspect,    // many machines are silent; nothing is restricted yet
+    lost,       // the failure is confirmed; the zone's work is displaced
+    returning,  // healthy again; its use ramps up gradually
 };
-// The state as it is stored and logged.
+// Returns the name under which the state is stored and logged.
 std::string_view name_of(ZoneState state);
 
-// What another leader needs to continue.
+// The state that another leader needs to continue zone failover.
 struct ZoneRecord {
     ZoneState state = ZoneState::up;
-    Ms in_state = 0;                 // how long it has been in that state, when written
-    double penalty = 0;              // at the moment of writing
-    bool suppressing = false;        // the penalty holds the zone down
-    std::uint32_t failed_ramps = 0;  // cut short by a flap, since the last complete one
+    Ms time_in_state = 0;      // how long the zone had been in the state at the time of writing
+    double penalty = 0;        // flap penalty at the time of writing
+    bool suppressing = false;  // the penalty keeps the zone from returning
+    std::uint32_t failed_ramps =
+        0;  // ramps that another loss interrupted since the last complete one
     bool operator==(const ZoneRecord&) const = default;
 };
 
-// The stored value of a record.
+// Encodes a record as it is stored.
 nlohmann::json encode_zone(const ZoneRecord& record);
-// The record of a stored value; nothing if it can't be read.
+// Decodes a stored record. Returns nullopt if the value is malformed.
 std::optional<ZoneRecord> decode_zone(const nlohmann::json& value);
 
 }  // namespace walkford
--- a/src/coordination/zone_failover/zone_record_store.cpp
+++ b/src/coordination/zone_failover/zone_record_store.cpp
@@ -11,8 +11,11 @@
 
 namespace {
 constexpr Ms kRetryDelay = 500;
-constexpr Ms kTimeInStateInterval = 10000;  // how often the time in a state is written ...
-constexpr Ms kPenaltyInterval = 60000;      // ... and a penalty that only decays
+// Minimum interval between writes that only update the time in a state.
+constexpr Ms kTimeInStateInterval = 10000;
+// Minimum interval between writes that only update a decaying penalty.
+constexpr Ms kPenaltyInterval = 60000;
+// Penalties below this value are stored as 0 while the zone is up.
 constexpr double kNegligiblePenalty = 0.05;
 }  // namespace
 
@@ -31,18 +34,21 @@
     write.version = stored->second.version;
     auto record = decode_zone(stored->second.value);
     if (!record) {
-        spdlog::warn("zone {}: its record can't be read, it is taken as up", zone.name);
+        spdlog::warn("zone {}: stored failover record cannot be decoded; treating the zone as up",
+                     zone.name);
         write.unreadable = true;
         return;
     }
     zone.health.restore(now, *record);
     zone.durable = *record;
-    zone.durable_since = now - record->in_state;
+    zone.durable_since = now - record->time_in_state;
     zone.failing_since = zone.durable_since;
     write.written_at = now;
     if (record->state != ZoneState::up) {
-        spdlog::info("zone {}: {} for {:.0f} s already, penalty {:.2f}", zone.name,
-                     name_of(record->state), to_seconds(record->in_state), record->penalty);
+        spdlog::info(
+            "zone {}: restored state {} from the store, {:.0f} s in this state, flap penalty "
+            "{:.2f}",
+            zone.name, name_of(record->state), to_seconds(record->time_in_state), record->penalty);
     }
 }
 
@@ -52,7 +58,7 @@
     }
 }
 
-// A suspicion is not acted on and not worth a write: it is stored as up.
+// The state suspect is stored as up: it restricts nothing, so it is not worth a write.
 ZoneRecord ZoneRecordStore::record_to_store(Ms now, Id zone) {
     ZoneRecord record = zones_[zone].health.record(now);
     if (record.state == ZoneState::suspect) {
@@ -66,17 +72,17 @@
 
 bool ZoneRecordStore::write_due(Ms now, Id zone) {
     const WriteState& write = writes_[zone];
-    if (write.call_open || now < write.retry_at || !context_.holds_lease) {
+    if (write.write_pending || now < write.retry_at || !context_.holds_lease) {
         return false;
     }
-    const ZoneRecord wanted = record_to_store(now, zone);
+    const ZoneRecord current = record_to_store(now, zone);
     const ZoneRecord& durable = zones_[zone].durable;
-    bool differs = wanted.state != durable.state || wanted.suppressing != durable.suppressing ||
-                   wanted.failed_ramps != durable.failed_ramps;
+    bool differs = current.state != durable.state || current.suppressing != durable.suppressing ||
+                   current.failed_ramps != durable.failed_ramps;
     if (write.unreadable || differs) {
         return true;
     }
-    if (wanted.state != ZoneState::up) {
+    if (current.state != ZoneState::up) {
         return now >= write.written_at + kTimeInStateInterval;
     }
     return durable.penalty > 0 && now >= write.written_at + kPenaltyInterval;
@@ -94,7 +100,7 @@
     std::string key = keys::zone_record(zone.name);
     transaction.comparisons = {{keys::kLeader, context_.fencing_token}, {key, write.version}};
     transaction.writes = {{key, encode_zone(record), 0}};
-    write.call_open = true;
+    write.write_pending = true;
     auto handler = [this, zone_id, record](Ms at, const StoreResponse& response) {
         on_write_response(at, zone_id, record, response);
     };
@@ -105,7 +111,7 @@
 void ZoneRecordStore::on_write_response(Ms now, Id zone, const ZoneRecord& record,
                                         const StoreResponse& response) {
     WriteState& write = writes_[zone];
-    write.call_open = false;
+    write.write_pending = false;
     if (response.status == StoreStatus::ok) {
         write.version = response.revision;
         write.unreadable = false;
@@ -114,7 +120,8 @@
         return;
     }
     write.retry_at = now + kRetryDelay;
-    // An earlier copy of our own write may have been executed: a new view shows its version.
+    // The store may have executed an earlier attempt of this write. Refreshing the view shows the
+    // version that it left.
     if (response.status == StoreStatus::conflict && !context_.depose_if_superseded(now, response)) {
         context_.refresh_replica(now);
     }
--- a/src/coordination/zone_failover/zone_record_store.hpp
+++ b/src/coordination/zone_failover/zone_record_store.hpp
@@ -1,4 +1,4 @@
-// Keeps the zones' failover records in the state service.
+// Loads and writes the zones' failover records in the store.
 #pragma once
 
 #include <functional>
@@ -9,28 +9,29 @@
 
 namespace walkford {
 
-// Loads the records that an earlier leader wrote, and writes the zones' health as it changes. Owned
-// by ZoneFailoverManager.
+// Loads the records that an earlier leader wrote, and writes a zone's record when its health
+// changes. Owned by ZoneFailoverManager.
 class ZoneRecordStore {
   public:
-    // Called when a record has become durable.
+    // Called when the store has acknowledged the write of a record.
     using DurableHandler = std::function<void(Ms now, Id zone, const ZoneRecord& record)>;
 
     // All references must outlive it.
     ZoneRecordStore(LeaderContext& context, ZoneTable& zones, DurableHandler on_durable);
 
-    // Continues from the zone's stored record. Without one, or if it can't be read, the zone is
-    // taken as up.
+    // Restores the zone's health from its stored record. If there is none, or it cannot be decoded,
+    // the zone is treated as up.
     void load(Ms now, Id zone);
-    // Writes the zone's record if it differs from the stored one in what is acted on, or if the
-    // stored time or penalty is outdated. One write a zone at a time, and only under the lease.
+    // Writes the zone's record if a field that affects decisions differs from the stored record, or
+    // if the stored time in the state or the stored penalty is outdated. At most one write per zone
+    // is in progress, and writes happen only while this controller holds the leader's lease.
     void write_if_due(Ms now, Id zone);
 
   private:
     struct WriteState {
         std::uint64_t version = 0;
-        bool call_open = false;
-        bool unreadable = false;  // the stored value can't be read and is replaced
+        bool write_pending = false;
+        bool unreadable = false;  // the stored value cannot be decoded; the next write replaces it
         Ms retry_at = 0;
         Ms written_at = 0;
     };
--- a/src/protocol/properties_file.cpp
+++ b/src/protocol/properties_file.cpp
@@ -50,8 +50,8 @@
     table.insert({
         {"scale.mark.low", Number{&settings.mark_low, 0, 1}},
         {"scale.mark.high", Number{&settings.mark_high, 0, 1}},
-        {"scale.out.interval_s", Number{&settings.out_interval_s, 0.1, kHourS}},
-        {"scale.in.interval_s", Number{&settings.in_interval_s, 0.1, kHourS}},
+        {"scale.out.interval_s", Number{&settings.scale_out_interval_s, 0.1, kHourS}},
+        {"scale.in.interval_s", Number{&settings.scale_in_interval_s, 0.1, kHourS}},
         {"scale.cap_per_kind", Number{&settings.max_per_machine_type, 0, 10000}},
         {"scale.permanent.first", Number{&settings.permanent_first, 0, 50}},
         {"scale.order",
@@ -59,7 +59,7 @@
                             {{"cost", ScaleOrder::cost}, {"cores", ScaleOrder::cores}}}},
         {"scale.unplaceable", Number{&settings.scale_out_unplaceable, 0, 1}},
         {"scale.unplaceable.after_s", Number{&settings.unplaceable_after_s, 0, kHourS}},
-        {"scale.spot", Number{&settings.prefer_spot, 0, 1}},
+        {"scale.spot", Number{&settings.spot_preference, 0, 1}},
         {"scale.idle_cost", Number{&settings.max_idle_cost, 0, 1e6}},
         {"scale.no_capacity_backoff_s", Number{&settings.no_capacity_backoff_s, 0.5, kHourS}},
     });
@@ -98,26 +98,27 @@
 void add_zone_failover(ZoneFailoverSettings& settings, Properties& table) {
     table.insert({
         {"zone_failover.enabled", Number{&settings.enabled, 0, 1}},
-        {"zone_failover.order", NameList{&settings.order}},
+        {"zone_failover.order", NameList{&settings.evacuation_order}},
         {"zone_failover.suspect_share", Number{&settings.suspect_share, 0.01, 1}},
         {"zone_failover.recover_share", Number{&settings.recover_share, 0, 1}},
         {"zone_failover.lost_share", Number{&settings.lost_share, 0.01, 1}},
-        {"zone_failover.least_machines", Number{&settings.least_machines, 1, 10000}},
+        {"zone_failover.least_machines", Number{&settings.min_machines, 1, 10000}},
         {"zone_failover.confirm_s", Number{&settings.confirm_s, 0.5, kHourS}},
-        {"zone_failover.return_s", Number{&settings.return_s, 0, kHourS}},
-        {"zone_failover.probe_s", Number{&settings.probe_s, 1, kHourS}},
+        {"zone_failover.return_s", Number{&settings.recovery_s, 0, kHourS}},
+        {"zone_failover.probe_s", Number{&settings.empty_zone_retry_s, 1, kHourS}},
         {"zone_failover.flap.half_life_s", Number{&settings.flap_half_life_s, 1, kDayS}},
-        {"zone_failover.flap.suppress", Number{&settings.flap_suppress, 0.1, 100}},
-        {"zone_failover.flap.reuse", Number{&settings.flap_reuse, 0.01, 100}},
-        {"zone_failover.flap.most", Number{&settings.flap_most, 1, 100}},
+        {"zone_failover.flap.suppress", Number{&settings.flap_suppress_penalty, 0.1, 100}},
+        {"zone_failover.flap.reuse", Number{&settings.flap_reuse_penalty, 0.01, 100}},
+        {"zone_failover.flap.most", Number{&settings.flap_max_penalty, 1, 100}},
         {"zone_failover.ramp.span_s", Number{&settings.ramp_s, 1, kHourS}},
         {"zone_failover.ramp.first_share", Number{&settings.ramp_first_share, 0.001, 1}},
-        {"zone_failover.ramp.fetches_per_machine", Number{&settings.fetches_per_machine, 1, 1000}},
-        {"zone_failover.ramp.fetches_per_zone", Number{&settings.fetches_per_zone, 1, 100000}},
+        {"zone_failover.ramp.fetches_per_machine",
+         Number{&settings.max_fetches_per_machine, 1, 1000}},
+        {"zone_failover.ramp.fetches_per_zone", Number{&settings.max_fetches_per_zone, 1, 100000}},
         {"zone_failover.ramp.replicas", Number{&settings.replicas, 1, 100000}},
         {"zone_failover.ramp.probe_machines", Number{&settings.probe_machines, 1, 1000}},
-        {"zone_failover.hold_s", Number{&settings.hold_s, 0, kHourS}},
-        {"zone_failover.wait_most_s", Number{&settings.wait_most_s, 0, kHourS}},
+        {"zone_failover.hold_s", Number{&settings.reserve_duration_s, 0, kHourS}},
+        {"zone_failover.wait_most_s", Number{&settings.max_wait_s, 0, kHourS}},
     });
 }
 
@@ -241,8 +242,8 @@
         require_below(failover.suspect_share, failover.lost_share, "zone_failover.suspect_share",
                       "zone_failover.lost_share", set_by);
     }
-    require_below(failover.flap_reuse, failover.flap_suppress, "zone_failover.flap.reuse",
-                  "zone_failover.flap.suppress", set_by);
+    require_below(failover.flap_reuse_penalty, failover.flap_suppress_penalty,
+                  "zone_failover.flap.reuse", "zone_failover.flap.suppress", set_by);
 }
 
 // Reads one file into the fields that `table` points to.
@@ -292,10 +293,10 @@
 void note_unknown_classes(const OperatorSettings& operator_settings,
                           const PlatformSettings& platform_settings,
                           std::vector<std::string>& notes) {
-    for (const std::string& name : operator_settings.zone_failover.order) {
-        bool is_known =
-            std::find(platform_settings.classes.begin(), platform_settings.classes.end(), name) !=
-            platform_settings.classes.end();
+    for (const std::string& name : operator_settings.zone_failover.evacuation_order) {
+        bool is_known = std::find(platform_settings.objective_classes.begin(),
+                                  platform_settings.objective_classes.end(),
+                                  name) != platform_settings.objective_classes.end();
         if (!is_known) {
             notes.push_back("zone_failover.order: class '" + name +
                             "' is not named by any objective");
--- a/src/protocol/settings_file.cpp
+++ b/src/protocol/settings_file.cpp
@@ -187,7 +187,7 @@
     constexpr double kMaxLatencyS = 1e9;
     std::string measure = objective.text("kind");
     if (objective.has("class")) {
-        settings.classes.push_back(objective.text("class"));
+        settings.objective_classes.push_back(objective.text("class"));
     }
     if (measure == kStartLatency) {
         settings.start_latency_objectives.push_back(
@@ -228,7 +228,7 @@
 }
 
 void read_cloud(const SettingsReader& cloud, PlatformSettings& settings) {
-    settings.cloud_rps = cloud.number("rps", 0.1, kMaxRate);
+    settings.cloud_requests_per_s = cloud.number("rps", 0.1, kMaxRate);
     settings.list_lag_s = cloud.number("list_lag_s", 0, kMaxPeriodS);
 }
 
--- a/tests/leader_harness.hpp
+++ b/tests/leader_harness.hpp
@@ -40,7 +40,7 @@
                                    {"blue", {20, 0, 0}, {100, 0, 0}}};
         platform_settings.report_s = 1;
         platform_settings.store_limits.writes_per_s = 1000;
-        platform_settings.cloud_rps = 100;
+        platform_settings.cloud_requests_per_s = 100;
         if (change) {
             change(*this);
         }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -419,9 +419,9 @@
 
 TEST(Properties, NotesAClassThatNoObjectiveNames) {
     OperatorSettings operator_settings;
-    operator_settings.zone_failover.order = {"known", "unknown"};
+    operator_settings.zone_failover.evacuation_order = {"known", "unknown"};
     PlatformSettings platform_settings;
-    platform_settings.classes = {"known"};
+    platform_settings.objective_classes = {"known"};
     std::vector<std::string> notes;
     note_unknown_classes(operator_settings, platform_settings, notes);
     ASSERT_EQ(notes.size(), 1U);
@@ -442,7 +442,7 @@
     std::string failover = std::string(WALKFORD_DEPLOY) + "/zone_failover.properties";
     OperatorSettings expected;
     expected.zone_failover.enabled = true;
-    expected.zone_failover.order = {"ledger-close", "risk-score"};
+    expected.zone_failover.evacuation_order = {"ledger-close", "risk-score"};
     EXPECT_EQ(load_operator_settings({general, failover}, notes), expected);
     EXPECT_TRUE(notes.empty());
     std::string deployed = read_file(general) + read_file(failover);
--- a/tests/standin/world.cpp
+++ b/tests/standin/world.cpp
@@ -18,12 +18,12 @@
     platform_settings_.gang_peer_s = kGangPeer;
     platform_settings_.cancel_s = o_.told_cancel_s > 0 ? o_.told_cancel_s : kCancel;
     platform_settings_.store_limits = {1000, 100, 4, 8};
-    platform_settings_.cloud_rps = 10;
+    platform_settings_.cloud_requests_per_s = 10;
     platform_settings_.list_lag_s = 2;
     platform_settings_.start_latency_objectives = {{"l0", 10}};
     operator_settings_ = test_operator_settings();
     operator_settings_.lease_ttl_s = 3;
-    operator_settings_.out_interval_s = 2;
+    operator_settings_.scale_out_interval_s = 2;
     operator_settings_.takeover_probe_s = 3;
     operator_settings_.unreported_release_s = 20;
     operator_settings_.silent_release_s = 5;
--- a/tests/standin/zone_days.cpp
+++ b/tests/standin/zone_days.cpp
@@ -7,8 +7,8 @@
 ZoneFailoverSettings switched_on() {
     ZoneFailoverSettings settings;
     settings.enabled = true;
-    settings.order = {"closing", "scoring"};
-    settings.least_machines = 1;  // the fleets here are small
+    settings.evacuation_order = {"closing", "scoring"};
+    settings.min_machines = 1;  // the fleets here are small
     return settings;
 }
 
@@ -84,8 +84,8 @@
     o.zone_losses.front().cold = true;
     o.cloud_room = 10;
     o.duration = 400000;
-    o.zone_failover.fetches_per_machine = 1;
-    o.zone_failover.fetches_per_zone = 2;
+    o.zone_failover.max_fetches_per_machine = 1;
+    o.zone_failover.max_fetches_per_zone = 2;
     o.zone_failover.ramp_first_share = 1;
     o.zone_failover.probe_machines = 10;
     o.zone_failover.ramp_s = 150;
--- a/tests/zone_loss_test.cpp
+++ b/tests/zone_loss_test.cpp
@@ -1,5 +1,5 @@
-// Zones lost in the simulated world: the work leaves in order, comes back slowly, and no rule is
-// broken on the way.
+// Simulated losses of zones: displaced work is evacuated in the configured order, use of the
+// recovered zone ramps up slowly, and no rule of the simulation is violated.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,31 +10,32 @@
 namespace walkford::standin {
 namespace {
 
-const testing::Environment* const kQuiet = testing::AddGlobalTestEnvironment(new QuietLog);
+const testing::Environment* const kQuietLog = testing::AddGlobalTestEnvironment(new QuietLog);
 
-// Orders travel in the answers to reports, which come 1.1 to 1.9 s apart.
-constexpr Ms kReportsApart = 2500;
+// Commands travel in the responses to heartbeats, which are 1.1 to 1.9 s apart, so starts that are
+// closer than this may swap.
+constexpr Ms kMaxHeartbeatSkew = 2500;
 
-// How many pairs of jobs were started again against the order of classes.
-int out_of_order(const std::map<std::string, std::vector<Ms>>& times) {
+// Returns how many pairs of jobs were restarted against the evacuation order of their classes.
+int count_out_of_order(const std::map<std::string, std::vector<Ms>>& times) {
     const std::vector<std::string> order{"closing", "scoring", "other"};
-    int wrong = 0;
+    int out_of_order = 0;
     for (std::size_t first = 0; first < order.size(); ++first) {
         for (std::size_t later = first + 1; later < order.size(); ++later) {
             if (!times.count(order[first]) || !times.count(order[later])) {
                 continue;
             }
-            for (Ms high : times.at(order[first])) {
-                for (Ms low : times.at(order[later])) {
-                    wrong += low + kReportsApart < high;
+            for (Ms earlier_class_start : times.at(order[first])) {
+                for (Ms later_class_start : times.at(order[later])) {
+                    out_of_order += later_class_start + kMaxHeartbeatSkew < earlier_class_start;
                 }
             }
         }
     }
-    return wrong;
+    return out_of_order;
 }
 
-std::size_t displaced(const std::map<std::string, std::vector<Ms>>& times) {
+std::size_t count_jobs(const std::map<std::string, std::vector<Ms>>& times) {
     std::size_t count = 0;
     for (const auto& [job_class, list] : times) {
         count += list.size();
@@ -44,279 +45,291 @@
 
 const std::vector<ZoneState> kLostOnce{ZoneState::lost, ZoneState::returning, ZoneState::up};
 
-int wrong_over_seeds(const std::function<void(Options&)>& change, std::size_t& moved) {
-    int wrong = 0;
+// Runs the evacuation with eight seeds. Returns the pairs of jobs that were restarted out of order,
+// and adds the number of restarted jobs to `moved`.
+int count_out_of_order_over_seeds(const std::function<void(Options&)>& change, std::size_t& moved) {
+    int out_of_order = 0;
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-        Options o = evacuation(seed);
-        change(o);
-        World w(o);
-        w.run();
-        EXPECT_TRUE(w.violations.empty()) << "seed " << seed << all(w);
-        auto times = started_again(w, kLossAt, "a");
-        moved += displaced(times);
-        wrong += out_of_order(times);
+        Options options = evacuation(seed);
+        change(options);
+        World world(options);
+        world.run();
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        auto times = started_again(world, kLossAt, "a");
+        moved += count_jobs(times);
+        out_of_order += count_out_of_order(times);
     }
-    return wrong;
+    return out_of_order;
 }
 
-TEST(ZoneLoss, WorkLeavesInTheStatedOrder) {
+TEST(ZoneLoss, WorkIsEvacuatedInTheConfiguredOrder) {
     std::size_t moved = 0;
-    EXPECT_EQ(wrong_over_seeds([](Options&) {}, moved), 0);
+    EXPECT_EQ(count_out_of_order_over_seeds([](Options&) {}, moved), 0);
     EXPECT_GT(moved, 30U);
 }
 
-TEST(ZoneLoss, WithoutTheOrderItLeavesOtherwise) {
+// Shows that the check above detects a missing order.
+TEST(ZoneLoss, WithoutAConfiguredOrderWorkIsEvacuatedInAnotherOrder) {
     std::size_t moved = 0;
-    EXPECT_GT(wrong_over_seeds([](Options& o) { o.zone_failover.order.clear(); }, moved), 20);
+    EXPECT_GT(count_out_of_order_over_seeds(
+                  [](Options& options) { options.zone_failover.evacuation_order.clear(); }, moved),
+              20);
 }
 
-TEST(ZoneLoss, AChangeOfLeaderInMidEvacuationKeepsTheOrder) {
+TEST(ZoneLoss, ALeaderChangeDuringEvacuationKeepsTheOrder) {
     std::size_t moved = 0;
-    int wrong = wrong_over_seeds([](Options& o) { o.leader_ends_at = {kLossAt + 19000}; }, moved);
-    EXPECT_EQ(wrong, 0);
+    int out_of_order = count_out_of_order_over_seeds(
+        [](Options& options) { options.leader_ends_at = {kLossAt + 19000}; }, moved);
+    EXPECT_EQ(out_of_order, 0);
     EXPECT_GT(moved, 30U);
 }
 
-TEST(ZoneLoss, IsRecordedOnceAlsoAcrossLeaders) {
+TEST(ZoneLoss, IsRecordedOnceAcrossLeaderChanges) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-        Options o = evacuation(seed);
-        // In mid-evacuation, and in mid-ramp.
-        o.leader_ends_at = {kLossAt + 19000, kLossAt + kLossFor + 30000};
-        World w(o);
-        w.run();
-        EXPECT_TRUE(w.violations.empty()) << "seed " << seed << all(w);
-        EXPECT_GE(w.elections, 2);
-        EXPECT_EQ(states_of(w, "a"), kLostOnce) << "seed " << seed;
-        EXPECT_TRUE(states_of(w, "b").empty());
+        Options options = evacuation(seed);
+        // The leader ends during the evacuation, and again during the recovery ramp.
+        options.leader_ends_at = {kLossAt + 19000, kLossAt + kLossFor + 30000};
+        World world(options);
+        world.run();
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        EXPECT_GE(world.elections, 2);
+        EXPECT_EQ(states_of(world, "a"), kLostOnce) << "seed " << seed;
+        EXPECT_TRUE(states_of(world, "b").empty());
     }
 }
 
-TEST(ZoneLoss, HalfAZoneIsNotLost) {
-    Options o = evacuation(3);
-    o.zone_losses.front().share = 0.5;
-    World w(o);
-    w.run();
-    EXPECT_TRUE(w.violations.empty()) << all(w);
-    EXPECT_TRUE(states_of(w, "a").empty());
+TEST(ZoneLoss, AZoneWithHalfItsMachinesSilentIsNotLost) {
+    Options options = evacuation(3);
+    options.zone_losses.front().share = 0.5;
+    World world(options);
+    world.run();
+    EXPECT_TRUE(world.violations.empty()) << all(world);
+    EXPECT_TRUE(states_of(world, "a").empty());
 }
 
-// The second loss within ten minutes holds the zone down for longer than the first.
+// The second loss within ten minutes raises the flap penalty over the threshold, so the zone
+// returns later than after the first.
 Options flapping(std::uint64_t seed) {
-    Options o = evacuation(seed);
-    o.cloud_room = 6;
-    o.zone_losses = {{40000, 30000, "a"}, {160000, 30000, "a"}};
-    o.duration = 420000;
-    // Services keep machines in both zones.
+    Options options = evacuation(seed);
+    options.cloud_room = 6;
+    options.zone_losses = {{40000, 30000, "a"}, {160000, 30000, "a"}};
+    options.duration = 420000;
+    // The services keep machines in both zones.
     PlannedWork services{3000, "serving", 4, 2, 4, 1, JobShape::service, Priority::production};
     services.spread = true;
-    o.work = {services};
+    options.work = {services};
     for (Ms at = 20000; at < 400000; at += 5000) {
-        o.work.push_back({at, "scoring", 2, 1, 4, 12000});
+        options.work.push_back({at, "scoring", 2, 1, 4, 12000});
     }
-    return o;
+    return options;
 }
-constexpr Ms kFirstReturn = 70000;
-constexpr Ms kSecondReturn = 190000;
+constexpr Ms kFirstLossEnd = 70000;
+constexpr Ms kSecondLossEnd = 190000;
 
-TEST(ZoneLoss, AZoneThatFlapsIsHeldDown) {
+TEST(ZoneLoss, AFlappingZoneIsSuppressed) {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-        World w(flapping(seed));
-        w.run();
-        EXPECT_TRUE(w.violations.empty()) << "seed " << seed << all(w);
-        Ms first = first_in(w, "a", ZoneState::returning, kFirstReturn) - kFirstReturn;
-        Ms second = first_in(w, "a", ZoneState::returning, kSecondReturn) - kSecondReturn;
+        World world(flapping(seed));
+        world.run();
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        Ms first = first_in(world, "a", ZoneState::returning, kFirstLossEnd) - kFirstLossEnd;
+        Ms second = first_in(world, "a", ZoneState::returning, kSecondLossEnd) - kSecondLossEnd;
         EXPECT_LT(first, 80000) << "seed " << seed;
         EXPECT_GT(second, 150000) << "seed " << seed;
     }
 }
 
-TEST(ZoneLoss, WithoutDampingItReturnsAtOnce) {
-    Options o = flapping(1);
-    o.zone_failover.flap_suppress = 100;
-    World w(o);
-    w.run();
-    EXPECT_LT(first_in(w, "a", ZoneState::returning, kSecondReturn), kSecondReturn + 80000);
+TEST(ZoneLoss, WithoutFlapDampingTheZoneReturnsSoon) {
+    Options options = flapping(1);
+    options.zone_failover.flap_suppress_penalty = 100;
+    World world(options);
+    world.run();
+    EXPECT_LT(first_in(world, "a", ZoneState::returning, kSecondLossEnd), kSecondLossEnd + 80000);
 }
 
-TEST(ZoneLoss, AZoneThatReturnsColdFetchesFewImagesAtOnce) {
+TEST(ZoneLoss, ConcurrentImageFetchesAreLimitedAfterAReturnWithEmptyCaches) {
     std::pair<int, int> unlimited{0, 0};
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        World w(cold_return(seed));
-        w.run();
-        EXPECT_TRUE(w.violations.empty()) << "seed " << seed << all(w);
-        auto [in_zone, on_machine] = most_fetched(w);
+        World world(cold_return(seed));
+        world.run();
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        auto [in_zone, on_machine] = most_fetched(world);
         EXPECT_GT(in_zone, 0) << "seed " << seed;
         EXPECT_LE(in_zone, 2) << "seed " << seed;
         EXPECT_LE(on_machine, 1) << "seed " << seed;
-        Options o = cold_return(seed);
-        o.zone_failover.fetches_per_machine = o.zone_failover.fetches_per_zone = 1000;
-        World without(o);
-        without.run();
-        unlimited = std::max(unlimited, most_fetched(without));
+        Options options = cold_return(seed);
+        options.zone_failover.max_fetches_per_machine = options.zone_failover.max_fetches_per_zone =
+            1000;
+        World unlimited_world(options);
+        unlimited_world.run();
+        unlimited = std::max(unlimited, most_fetched(unlimited_world));
     }
-    EXPECT_GT(unlimited.first, 2) << "the limit makes a difference";
+    EXPECT_GT(unlimited.first, 2) << "without the limit there must be more concurrent fetches";
 }
 
-TEST(ZoneLoss, TwoZonesLostOneAfterTheOther) {
+TEST(ZoneLoss, TwoZonesAreLostOneAfterTheOther) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        Options o = evacuation(seed);
-        o.zones = {"a", "b", "c"};
-        o.zone_losses = {{40000, 80000, "a"}, {65000, 60000, "b"}};
-        World w(o);
-        w.run();
-        EXPECT_TRUE(w.violations.empty()) << "seed " << seed << all(w);
-        EXPECT_EQ(states_of(w, "a"), kLostOnce) << "seed " << seed;
-        EXPECT_EQ(states_of(w, "b"), kLostOnce) << "seed " << seed;
-        EXPECT_TRUE(states_of(w, "c").empty());
+        Options options = evacuation(seed);
+        options.zones = {"a", "b", "c"};
+        options.zone_losses = {{40000, 80000, "a"}, {65000, 60000, "b"}};
+        World world(options);
+        world.run();
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        EXPECT_EQ(states_of(world, "a"), kLostOnce) << "seed " << seed;
+        EXPECT_EQ(states_of(world, "b"), kLostOnce) << "seed " << seed;
+        EXPECT_TRUE(states_of(world, "c").empty());
     }
 }
 
-// Nothing to move to, and a cloud that goes on renting machines that don't come up.
+// Loses the only zone while the cloud still accepts scale-out requests for machines that never
+// boot. Returns the number of machines requested during the outage.
 std::ptrdiff_t requested_while_lost(bool enabled) {
-    Options o = evacuation(2);
-    o.zones = {"a"};
-    o.cloud_room = 30;
-    o.zone_failover.enabled = enabled;
-    o.zone_losses = {{kLossAt, 90000, "a", 1, true, true, false}};
-    o.work.push_back({kLossAt + 5000, "scoring", 60, 1, 4, 20000});
-    World w(o);
-    w.run();
-    EXPECT_TRUE(w.violations.empty()) << all(w);
-    return std::count_if(w.scale_out_requests.begin(), w.scale_out_requests.end(),
+    Options options = evacuation(2);
+    options.zones = {"a"};
+    options.cloud_room = 30;
+    options.zone_failover.enabled = enabled;
+    options.zone_losses = {{kLossAt, 90000, "a", 1, true, true, false}};
+    options.work.push_back({kLossAt + 5000, "scoring", 60, 1, 4, 20000});
+    World world(options);
+    world.run();
+    EXPECT_TRUE(world.violations.empty()) << all(world);
+    return std::count_if(world.scale_out_requests.begin(), world.scale_out_requests.end(),
                          [](const auto& scale_out_request) {
                              return scale_out_request.first > kLossAt + 25000 &&
                                     scale_out_request.first < kLossAt + 90000;
                          });
 }
 
-TEST(ZoneLoss, TheOnlyZoneLostBringsNoStormOfRentals) {
-    std::ptrdiff_t with = requested_while_lost(true);
-    std::ptrdiff_t without = requested_while_lost(false);
-    // Those that never come up are given back, and two more tried.
-    EXPECT_GT(with, 0);
-    EXPECT_LE(with, 12);
-    EXPECT_GT(without, 2 * with);
+TEST(ZoneLoss, LossOfTheOnlyZoneCausesNoExcessiveScaleOut) {
+    std::ptrdiff_t enabled_requests = requested_while_lost(true);
+    std::ptrdiff_t disabled_requests = requested_while_lost(false);
+    // Machines that never boot are released, and two more are requested.
+    EXPECT_GT(enabled_requests, 0);
+    EXPECT_LE(enabled_requests, 12);
+    EXPECT_GT(disabled_requests, 2 * enabled_requests);
 }
 
-// What may come at the same time.
-struct Meeting {
+// An event that coincides with the loss of a zone.
+struct ConcurrentEvent {
     const char* name;
     std::function<void(Options&)> change;
 };
 
-class ZoneLossMeets : public testing::TestWithParam<Meeting> {};
+class ZoneLossWithConcurrentEvent : public testing::TestWithParam<ConcurrentEvent> {};
 
-TEST_P(ZoneLossMeets, KeepsTheRulesAndServesEveryJob) {
+TEST_P(ZoneLossWithConcurrentEvent, ViolatesNoRuleAndServesEveryJob) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        Options o = evacuation(seed);
-        GetParam().change(o);
-        World w(o);
-        w.run();
-        EXPECT_TRUE(w.violations.empty()) << "seed " << seed << all(w);
-        EXPECT_GT(w.started, 15) << "seed " << seed;
+        Options options = evacuation(seed);
+        GetParam().change(options);
+        World world(options);
+        world.run();
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        EXPECT_GT(world.started, 15) << "seed " << seed;
     }
 }
 
-const std::vector<Meeting> kMeetings{
-    {"limits_that_fall", [](Options& o) { o.limits_fall_at = kLossAt + 5000; }},
+const std::vector<ConcurrentEvent> kConcurrentEvents{
+    {"falling_store_limits", [](Options& options) { options.limits_fall_at = kLossAt + 5000; }},
     {"a_cloud_without_capacity",
-     [](Options& o) {
-         o.cloud_room = 2;
-         o.duration = 500000;
+     [](Options& options) {
+         options.cloud_room = 2;
+         options.duration = 500000;
      }},
-    {"a_state_outage",
-     [](Options& o) {
-         o.outage_at = kLossAt + 8000;
-         o.outage_for = 15000;
+    {"a_store_outage",
+     [](Options& options) {
+         options.outage_at = kLossAt + 8000;
+         options.outage_for = 15000;
      }},
-    {"cancellations_in_mid_move", [](Options& o) { o.work[1].cancel_at = kLossAt + 16000; }},
+    {"cancellations_during_evacuation",
+     [](Options& options) { options.work[1].cancel_at = kLossAt + 16000; }},
     {"a_gang_in_both_zones",
-     [](Options& o) {
-         o.cloud_room = 8;
-         o.work.push_back({4000, "closing", 2, 8, 4, 40000, JobShape::gang, Priority::high});
+     [](Options& options) {
+         options.cloud_room = 8;
+         options.work.push_back({4000, "closing", 2, 8, 4, 40000, JobShape::gang, Priority::high});
      }},
     {"a_gang_in_one_zone",
-     [](Options& o) {
-         o.cloud_room = 8;
+     [](Options& options) {
+         options.cloud_room = 8;
          PlannedWork gang{4000, "closing", 2, 4, 4, 40000, JobShape::gang, Priority::high};
          gang.one_zone = true;
-         o.work.push_back(gang);
+         options.work.push_back(gang);
      }},
     {"work_bound_to_the_zone",
-     [](Options& o) {
-         o.work.push_back({4000, "scoring", 4, 1, 4, 50000, {}, {}, "a"});
+     [](Options& options) {
+         options.work.push_back({4000, "scoring", 4, 1, 4, 50000, {}, {}, "a"});
      }},
     {"services_spread_over_zones",
-     [](Options& o) {
-         o.work.push_back(
+     [](Options& options) {
+         options.work.push_back(
              {4000, "serving", 4, 2, 1, 1, JobShape::service, Priority::production, "", true});
      }},
-    {"late_reports",
-     [](Options& o) {
-         o.faults = true;
-         o.only = {Fault::late_reports};
+    {"late_heartbeats",
+     [](Options& options) {
+         options.faults = true;
+         options.only = {Fault::late_reports};
      }},
-    {"leaders_that_end",
-     [](Options& o) {
-         o.leader_ends_at = {kLossAt + 3000, kLossAt + 22000, kLossAt + kLossFor + 20000};
+    {"leader_changes",
+     [](Options& options) {
+         options.leader_ends_at = {kLossAt + 3000, kLossAt + 22000, kLossAt + kLossFor + 20000};
      }},
-    {"every_other_fault", [](Options& o) { o.faults = true; }},
+    {"every_other_fault", [](Options& options) { options.faults = true; }},
 };
-INSTANTIATE_TEST_SUITE_P(Also, ZoneLossMeets, testing::ValuesIn(kMeetings),
-                         [](const auto& meeting) { return std::string(meeting.param.name); });
+INSTANTIATE_TEST_SUITE_P(ConcurrentEvents, ZoneLossWithConcurrentEvent,
+                         testing::ValuesIn(kConcurrentEvents),
+                         [](const auto& event) { return std::string(event.param.name); });
 
-TEST(ZoneLoss, WithRandomJobsAndFaultsTheRulesHold) {
+TEST(ZoneLoss, WithRandomJobsAndFaultsNoRuleIsViolated) {
     int lost = 0;
     for (std::uint64_t seed = 1; seed <= 16; ++seed) {
-        Options o;
-        o.seed = 52000 + seed;
-        o.calm = 200000;
-        o.services = 3;
-        o.zone_failover = switched_on();
-        o.zone_failover.order = {"l1", "l0"};
-        o.jobs = 40;
-        o.zone_losses = {{30000, 25000, "a", 1, seed % 2 == 0}, {80000, 20000, "b"}};
-        World w(o);
-        w.run();
-        EXPECT_TRUE(w.violations.empty()) << "seed " << o.seed << all(w);
-        lost += !states_of(w, "a").empty();
+        Options options;
+        options.seed = 52000 + seed;
+        options.calm = 200000;
+        options.services = 3;
+        options.zone_failover = switched_on();
+        options.zone_failover.evacuation_order = {"l1", "l0"};
+        options.jobs = 40;
+        options.zone_losses = {{30000, 25000, "a", 1, seed % 2 == 0}, {80000, 20000, "b"}};
+        World world(options);
+        world.run();
+        EXPECT_TRUE(world.violations.empty()) << "seed " << options.seed << all(world);
+        lost += !states_of(world, "a").empty();
     }
     EXPECT_GT(lost, 4);
 }
 
-// Below its feature level nothing is written and nothing acts, however long a controller stays old.
-TEST(ZoneLoss, NothingActsWhileAControllerIsOld) {
-    Options o = evacuation(4);
-    o.rollout_at = 1000;
-    o.one_stays_old = true;
-    World w(o);
-    w.run();
-    EXPECT_TRUE(w.violations.empty()) << all(w);
-    EXPECT_TRUE(w.state().history(keys::zone_record("a")).empty());
-    o.one_stays_old = false;
-    World upgraded(o);
+// While any controller has a feature level below that of zone failover, no zone record is written
+// and no failover happens, however long that controller stays at its old version.
+TEST(ZoneLoss, IsInactiveWhileAControllerRunsAnOldVersion) {
+    Options options = evacuation(4);
+    options.rollout_at = 1000;
+    options.one_stays_old = true;
+    World world(options);
+    world.run();
+    EXPECT_TRUE(world.violations.empty()) << all(world);
+    EXPECT_TRUE(world.state().history(keys::zone_record("a")).empty());
+    options.one_stays_old = false;
+    World upgraded(options);
     upgraded.run();
     EXPECT_TRUE(upgraded.violations.empty()) << all(upgraded);
     EXPECT_EQ(states_of(upgraded, "a"), kLostOnce);
 }
 
-TEST(ZoneLoss, AGarbledRecordIsTakenAsUpAndWrittenAnew) {
-    Options o = evacuation(5);
-    o.zone_losses.clear();
-    o.stored[keys::zone_record("a")] = "rubbish";
-    World w(o);
-    w.run();
-    EXPECT_TRUE(w.violations.empty()) << all(w);
-    EXPECT_EQ(states_of(w, "a"), std::vector<ZoneState>{ZoneState::up});
+TEST(ZoneLoss, AMalformedRecordIsTreatedAsUpAndReplaced) {
+    Options options = evacuation(5);
+    options.zone_losses.clear();
+    options.stored[keys::zone_record("a")] = "rubbish";
+    World world(options);
+    world.run();
+    EXPECT_TRUE(world.violations.empty()) << all(world);
+    EXPECT_EQ(states_of(world, "a"), std::vector<ZoneState>{ZoneState::up});
 }
 
-TEST(ZoneLoss, SwitchedOffNothingIsWritten) {
-    Options o = evacuation(6);
-    o.zone_failover.enabled = false;
-    World w(o);
-    w.run();
-    EXPECT_TRUE(w.violations.empty()) << all(w);
-    EXPECT_TRUE(w.state().history(keys::zone_record("a")).empty());
+TEST(ZoneLoss, NoRecordIsWrittenWhenDisabled) {
+    Options options = evacuation(6);
+    options.zone_failover.enabled = false;
+    World world(options);
+    world.run();
+    EXPECT_TRUE(world.violations.empty()) << all(world);
+    EXPECT_TRUE(world.state().history(keys::zone_record("a")).empty());
 }
 
 }  // namespace
