--- a/src/bookkeeping/machine.hpp
+++ b/src/bookkeeping/machine.hpp
@@ -24,7 +24,7 @@
 
 // What the worker on a machine has reported to this leader, and the state of the worker's lease.
 struct WorkerState {
-    bool reported = false;            // has sent a heartbeat to this leader
+    bool reported = false;            // has reported to this leader
     bool fencing_token_seen = false;  // has seen this leader's token; obeys no older leader
     Ms fencing_token_seen_at = -1;
     std::uint64_t incarnation = 0;
