--- a/src/coordination/store/store_client.cpp
+++ b/src/coordination/store/store_client.cpp
@@ -8,13 +8,13 @@
 namespace walkford {
 
 namespace {
-// The allowance of writes is shared by all controllers without asking one another: the leader
-// writes most, the followers have a part each of the rest.
+// All controllers share the store's write rate limit without coordinating: the leader, which writes
+// most, gets a fixed share, and the followers divide a smaller share equally.
 constexpr double kLeaderShare = 0.65;
 constexpr double kFollowersShare = 0.3;
 constexpr double kMinLeaderWritesPerS = 1.0;
 constexpr double kMinFollowerWritesPerS = 0.5;
-// Size of the token bucket: this much of the rate, but room for so many writes at least.
+// The token bucket holds this many seconds' worth of writes, but at least kMinBurst writes.
 constexpr double kBurstSeconds = 0.8;
 constexpr double kMinBurst = 2.0;
 constexpr Ms kPauseAfterRateLimit = 120;
@@ -33,49 +33,49 @@
     return std::max(kMinFollowerWritesPerS, allowed * share);
 }
 
-void StoreClient::send(StoreRequest request, Pending pending, Outputs& out) {
+void StoreClient::send(StoreRequest request, PendingRequest pending, Outputs& out) {
     request.call = next_call_++;
     pending_.emplace(request.call, std::move(pending));
     out.emplace_back(std::move(request));
 }
 
-void StoreClient::get(const std::string& key, ResponseCallback then, Outputs& out) {
+void StoreClient::get(const std::string& key, ResponseCallback callback, Outputs& out) {
     StoreRequest request;
     request.operation = StoreOperation::get;
     request.key = key;
-    send(std::move(request), {std::move(then)}, out);
+    send(std::move(request), {std::move(callback)}, out);
 }
 
-void StoreClient::list(const std::string& prefix, const std::string& after, ResponseCallback then,
-                       Outputs& out) {
+void StoreClient::list(const std::string& prefix, const std::string& after,
+                       ResponseCallback callback, Outputs& out) {
     StoreRequest request;
     request.operation = StoreOperation::list;
     request.key = prefix;
     request.after_key = after;
-    send(std::move(request), {std::move(then)}, out);
+    send(std::move(request), {std::move(callback)}, out);
 }
 
-void StoreClient::changes(std::uint64_t after, Ms wait, ResponseCallback then, Outputs& out) {
+void StoreClient::changes(std::uint64_t after, Ms wait, ResponseCallback callback, Outputs& out) {
     StoreRequest request;
     request.operation = StoreOperation::changes;
     request.key = keys::kRoot;
     request.after = after;
     request.wait_ms = wait;
-    send(std::move(request), {std::move(then)}, out);
+    send(std::move(request), {std::move(callback)}, out);
 }
 
-void StoreClient::lease_grant(Ms ttl, ResponseCallback then, Outputs& out) {
+void StoreClient::lease_grant(Ms ttl, ResponseCallback callback, Outputs& out) {
     StoreRequest request;
     request.operation = StoreOperation::lease_grant;
     request.ttl_ms = ttl;
-    send(std::move(request), {std::move(then)}, out);
+    send(std::move(request), {std::move(callback)}, out);
 }
 
-void StoreClient::lease_renew(std::uint64_t lease, ResponseCallback then, Outputs& out) {
+void StoreClient::lease_renew(std::uint64_t lease, ResponseCallback callback, Outputs& out) {
     StoreRequest request;
     request.operation = StoreOperation::lease_renew;
     request.lease = lease;
-    send(std::move(request), {std::move(then)}, out);
+    send(std::move(request), {std::move(callback)}, out);
 }
 
 void StoreClient::lease_revoke(std::uint64_t lease, Outputs& out) {
@@ -86,9 +86,9 @@
 }
 
 void StoreClient::transaction(RequestPriority priority, Transaction transaction,
-                              ResponseCallback then) {
+                              ResponseCallback callback) {
     queues_[static_cast<std::size_t>(priority)].push_back(
-        {std::move(transaction), std::move(then)});
+        {std::move(transaction), std::move(callback)});
 }
 
 std::size_t StoreClient::queued() const {
@@ -104,7 +104,7 @@
     if (entry == pending_.end()) {
         return;
     }
-    Pending pending = std::move(entry->second);
+    PendingRequest pending = std::move(entry->second);
     pending_.erase(entry);
     record_contact(now, response);
     if (response.status == StoreStatus::rate_limited) {
@@ -115,9 +115,10 @@
         }
     }
     if (response.status == StoreStatus::conflict) {
-        spdlog::debug("transaction conflict: {} changed", fmt::join(response.failed, " "));
+        spdlog::debug("transaction rejected: versions of keys {} have changed",
+                      fmt::join(response.failed, " "));
     }
-    pending.then(now, response);
+    pending.callback(now, response);
 }
 
 void StoreClient::record_contact(Ms now, const StoreResponse& response) {
@@ -131,24 +132,25 @@
         default:
             break;
     }
-    last_reached_ = now;
+    last_served_at_ = now;
     seen_revision_ = std::max(seen_revision_, response.revision);
-    // The response to a read of one key names no revision but that of the key's last change.
+    // The response to a read of a single key carries no store revision, only the revision of the
+    // key's last change.
     for (const StoreEntry& row : response.rows) {
         seen_revision_ = std::max(seen_revision_, row.version);
     }
     consecutive_failures_ = 0;
 }
 
-// The transaction was not executed: it goes back to the head of its queue.
-void StoreClient::requeue(Ms now, Pending pending) {
+// A rate-limited transaction was not executed, so it is put back at the head of its queue.
+void StoreClient::requeue(Ms now, PendingRequest pending) {
     if (limits_.record_rate_limit(now)) {
-        spdlog::info("the state service admits fewer changes: {:.1f} a second",
+        spdlog::info("store write rate limit lowered to {:.1f} writes/s after repeated rejections",
                      limits_.writes_per_s());
     }
     SentTransaction& sent = *pending.transaction;
     queues_[static_cast<std::size_t>(sent.priority)].push_front(
-        {std::move(sent.transaction), std::move(pending.then)});
+        {std::move(sent.transaction), std::move(pending.callback)});
 }
 
 void StoreClient::send_queued(Ms now, Outputs& out) {
@@ -159,13 +161,13 @@
     if (now < paused_until_) {
         return;
     }
-    for (std::size_t index = 0; index < kRequestPriorities; ++index) {
+    for (std::size_t index = 0; index < kRequestPriorityCount; ++index) {
         auto priority = static_cast<RequestPriority>(index);
         auto& queue = queues_[index];
         while (!queue.empty()) {
             auto cost = static_cast<double>(queue.front().transaction.writes.size());
-            // A transaction larger than the bucket goes once the bucket is full; what leadership
-            // depends on goes at once.
+            // A transaction larger than the bucket is sent once the bucket is full. Transactions
+            // that leadership depends on are sent immediately.
             if (priority != RequestPriority::leadership && tokens_ < std::min(cost, burst)) {
                 return;
             }
@@ -183,7 +185,8 @@
     request.operation = StoreOperation::transaction;
     request.transaction = queued.transaction;
     send(std::move(request),
-         {std::move(queued.then), SentTransaction{priority, std::move(queued.transaction)}}, out);
+         {std::move(queued.callback), SentTransaction{priority, std::move(queued.transaction)}},
+         out);
 }
 
 }  // namespace walkford
--- a/src/coordination/store/store_client.hpp
+++ b/src/coordination/store/store_client.hpp
@@ -1,6 +1,6 @@
-// The client of the state service, the consensus-backed key-value store: matches responses to
-// requests, and keeps this controller's writes within its share of the allowance, those that safety
-// depends on first.
+// The client of the store, the consensus-backed key-value store. Matches responses to requests,
+// keeps this controller's writes within its share of the write rate limit, and sends the writes
+// that safety depends on first.
 #pragma once
 
 #include <array>
@@ -16,98 +16,102 @@
 
 namespace walkford {
 
-// Until when a lease of the state service that was granted or renewed is certainly held: counted
-// from when that was requested, less clock drift and a margin.
+// Returns the time until which a granted or renewed lease is certain to be held. The TTL is counted
+// from the time of the request and reduced by the possible clock drift and a safety margin.
 inline Ms lease_valid_until(Ms requested_at, Ms ttl) {
     constexpr Ms kMargin = 200;
     constexpr Ms kDriftDivisor = 1000;
     return requested_at + ttl - ttl / kDriftDivisor - kMargin;
 }
 
-// Order of service when the allowance of writes is short, the first one first.
+// Priorities of writes when the write rate limit is reached, highest first.
 enum class RequestPriority : std::uint8_t { leadership, cancel, accept, placement, done, progress };
-inline constexpr std::size_t kRequestPriorities = 6;
+inline constexpr std::size_t kRequestPriorityCount = 6;
 
-// Owned by the ControllerContext, one for each process. The callback of a request runs once, when
-// its response comes in; with StoreStatus::no_response the request may have been executed, or may
-// be later.
+// Owned by the ControllerContext; there is one per process. The callback of a request runs once,
+// when its response arrives. StoreStatus::no_response means that the request may have been executed
+// or may still be executed later.
 class StoreClient {
   public:
     // Called with the time of the response, and the response.
     using ResponseCallback = std::function<void(Ms, const StoreResponse&)>;
 
-    // `next`: the limits that will replace `current` at an unannounced moment. `controllers`: how
-    // many share the allowance, this one included.
+    // `next`: the limits that replace `current` at an unknown time. `controllers`: the number of
+    // controllers that share the write rate limit, including this one.
     StoreClient(const StoreLimits& current, const std::optional<StoreLimits>& next,
                 std::uint32_t controllers);
 
-    // Reads one key. Like all requests but transactions, it is appended to `out` at once.
-    void get(const std::string& key, ResponseCallback then, Outputs& out);
-    // Reads a page of the keys with that prefix that sort behind `after`.
-    void list(const std::string& prefix, const std::string& after, ResponseCallback then,
+    // Reads one key. All requests except transactions are appended to `out` immediately.
+    void get(const std::string& key, ResponseCallback callback, Outputs& out);
+    // Reads one page of the keys that have the prefix and sort after `after`.
+    void list(const std::string& prefix, const std::string& after, ResponseCallback callback,
               Outputs& out);
-    // Reads the changes behind revision `after`; waits for one up to `wait` if there is none.
-    void changes(std::uint64_t after, Ms wait, ResponseCallback then, Outputs& out);
-    // Requests a lease that expires `ttl` after it was last renewed.
-    void lease_grant(Ms ttl, ResponseCallback then, Outputs& out);
-    // Renews a lease; not_found once it has expired.
-    void lease_renew(std::uint64_t lease, ResponseCallback then, Outputs& out);
-    // Ends a lease, and with it all keys written on it. Nobody waits for the response.
+    // Reads the changes after revision `after`. If there are none, the store waits up to `wait` for
+    // one.
+    void changes(std::uint64_t after, Ms wait, ResponseCallback callback, Outputs& out);
+    // Requests a lease that expires `ttl` after its last renewal.
+    void lease_grant(Ms ttl, ResponseCallback callback, Outputs& out);
+    // Renews a lease. The response is not_found if the lease has expired.
+    void lease_renew(std::uint64_t lease, ResponseCallback callback, Outputs& out);
+    // Revokes a lease, which deletes all keys attached to it. The response is ignored.
     void lease_revoke(std::uint64_t lease, Outputs& out);
-    // Queues a compare-and-swap; send_queued() sends it when the allowance admits it. One that is
-    // refused for the rate is sent again, without the callback seeing it.
-    void transaction(RequestPriority priority, Transaction transaction, ResponseCallback then);
+    // Queues a compare-and-swap transaction; send_queued() sends it when the rate limit allows. If
+    // the store rejects it because of the rate limit, it is sent again without calling the
+    // callback.
+    void transaction(RequestPriority priority, Transaction transaction, ResponseCallback callback);
 
-    // Takes in a response; one to an unknown call is ignored.
+    // Handles a response. A response to an unknown call is ignored.
     void reply(Ms now, const StoreResponse& response);
-    // Appends to `out` as many of the queued transactions as the allowance admits.
+    // Appends as many of the queued transactions to `out` as the rate limit allows.
     void send_queued(Ms now, Outputs& out);
-    // The leader has a larger share of the allowance.
+    // Sets whether this controller leads; the leader has a larger share of the write rate limit.
     void set_leading(bool leading) { leading_ = leading; }
 
-    // When the service last served us, by whatever response but a refusal; -1: never.
-    Ms last_reached() const { return last_reached_; }
-    // The highest revision in any response: nothing that this process told a user is newer.
+    // The time of the last response that shows the store to be available, which excludes
+    // unavailable and rate_limited; -1 if there was none.
+    Ms last_reached() const { return last_served_at_; }
+    // The highest revision in any response so far. No information that this process has given to a
+    // user is newer.
     std::uint64_t seen_revision() const { return seen_revision_; }
-    // How many requests in a row were refused or left unanswered.
+    // The number of consecutive requests that got no response or found the store unavailable.
     int consecutive_failures() const { return consecutive_failures_; }
-    // How many transactions wait for the allowance.
+    // The number of transactions that wait for the rate limit.
     std::size_t queued() const;
-    // The limits in force, for whoever builds transactions and values.
+    // The limits that transactions and values must respect.
     const EffectiveStoreLimits& limits() const { return limits_; }
 
   private:
-    // A transaction that was sent, kept to be sent again if it is refused for the rate.
+    // A transaction in flight, kept so that it can be sent again if it is rate-limited.
     struct SentTransaction {
         RequestPriority priority = RequestPriority::leadership;
         Transaction transaction;
     };
-    // A request without response yet.
-    struct Pending {
-        ResponseCallback then = {};
+    // A request whose response has not arrived yet.
+    struct PendingRequest {
+        ResponseCallback callback = {};
         std::optional<SentTransaction> transaction = std::nullopt;
     };
     struct QueuedTransaction {
         Transaction transaction;
-        ResponseCallback then;
+        ResponseCallback callback;
     };
-    void send(StoreRequest request, Pending pending, Outputs& out);
+    void send(StoreRequest request, PendingRequest pending, Outputs& out);
     void send_transaction(RequestPriority priority, Outputs& out);
     void record_contact(Ms now, const StoreResponse& response);
-    void requeue(Ms now, Pending pending);
-    // This controller's share of the writes that the state service admits, a second.
+    void requeue(Ms now, PendingRequest pending);
+    // This controller's share of the write rate limit, in writes per second.
     double write_rate() const;
 
     CallId next_call_ = 1;
-    std::unordered_map<CallId, Pending> pending_;
-    std::array<std::deque<QueuedTransaction>, kRequestPriorities> queues_;
+    std::unordered_map<CallId, PendingRequest> pending_;
+    std::array<std::deque<QueuedTransaction>, kRequestPriorityCount> queues_;
     EffectiveStoreLimits limits_;
     std::uint32_t controllers_;
-    double tokens_ = 4;  // of the bucket that limits writes
+    double tokens_ = 4;  // of the token bucket that limits writes
     Ms refilled_at_ = 0;
     Ms paused_until_ = 0;
     bool leading_ = false;
-    Ms last_reached_ = -1;
+    Ms last_served_at_ = -1;
     std::uint64_t seen_revision_ = 0;
     int consecutive_failures_ = 0;
 };
--- a/src/coordination/store/store_replica.cpp
+++ b/src/coordination/store/store_replica.cpp
@@ -9,7 +9,8 @@
     return key.compare(0, prefix.size(), prefix) == 0;
 }
 
-// Sets or erases one value of a map by a row; false for a row that is not newer than the value.
+// Sets or erases the value that a row describes. Returns false if the row is not newer than the
+// value.
 template <typename Key>
 bool apply_value(std::map<Key, StoredValue>& values, const Key& key, const StoreEntry& row) {
     auto known = values.find(key);
@@ -24,8 +25,9 @@
     return true;
 }
 
-// Of a placement record: "d" lists ranges of done tasks, first and last in turn.
-std::uint32_t done_tasks(const Json& record) {
+// Counts the done tasks of a placement record. Its "d" lists ranges of task numbers as alternating
+// first and last numbers.
+std::uint32_t count_done_tasks(const Json& record) {
     std::uint32_t count = 0;
     if (auto ranges = record.find("d"); ranges != record.end()) {
         for (std::size_t i = 0; i + 1 < ranges->size(); i += 2) {
@@ -37,8 +39,9 @@
     return count;
 }
 
-// Of a placement record: "m" lists for each machine its tasks, two numbers a task.
-std::uint32_t running_tasks(const Json& record) {
+// Counts the running tasks of a placement record. Its "m" lists the tasks of each machine, with two
+// numbers per task.
+std::uint32_t count_running_tasks(const Json& record) {
     std::uint32_t count = 0;
     if (auto machines = record.find("m"); machines != record.end()) {
         for (const Json& tasks : *machines) {
@@ -49,7 +52,8 @@
 }
 }  // namespace
 
-// Changes arrive by two paths (watch and snapshot); an old one must not undo a newer deletion.
+// Changes arrive by two paths, the watch and the snapshot. An older change must not undo a newer
+// deletion.
 bool StoreReplica::superseded_by_deletion(const StoreEntry& row) const {
     auto deletion = deletions_.find(row.key);
     return deletion != deletions_.end() && deletion->second >= row.version;
@@ -88,7 +92,7 @@
         return apply_job(row);
     }
     if (starts_with(key, keys::kFinishedJobs)) {
-        return apply_ended(row);
+        return apply_finished_job(row);
     }
     if (starts_with(key, keys::kRelays)) {
         return apply_relay(row);
@@ -151,7 +155,7 @@
     return true;
 }
 
-bool StoreReplica::apply_ended(const StoreEntry& row) {
+bool StoreReplica::apply_finished_job(const StoreEntry& row) {
     if (!row.value) {
         return false;
     }
@@ -185,7 +189,7 @@
     if (relay.record) {
         ++relay_changes_[relay.record->zone];
     } else {
-        ++relay_changes_anywhere_;
+        ++relay_changes_in_any_zone_;
     }
 }
 
@@ -198,7 +202,7 @@
 
 std::uint64_t StoreReplica::relay_changes(const std::string& zone) const {
     auto changes = relay_changes_.find(zone);
-    return relay_changes_anywhere_ + (changes == relay_changes_.end() ? 0 : changes->second);
+    return relay_changes_in_any_zone_ + (changes == relay_changes_.end() ? 0 : changes->second);
 }
 
 bool StoreReplica::apply_announcement(const StoreEntry& row) {
@@ -224,7 +228,8 @@
 void StoreReplica::begin_snapshot() {
     loading_snapshot_ = true;
     snapshot_keys_.clear();
-    ++relay_changes_anywhere_;  // a snapshot shows no trace of records that have come and gone
+    // A snapshot does not show records that were created and deleted since the last change seen.
+    ++relay_changes_in_any_zone_;
 }
 
 void StoreReplica::end_snapshot(std::uint64_t revision) {
@@ -237,7 +242,7 @@
     advance(revision);
 }
 
-// What is newer than the snapshot came by the watch, and need not be in it.
+// Entries newer than the snapshot arrived by the watch and need not be part of the snapshot.
 std::vector<std::string> StoreReplica::keys_missing_in_snapshot(std::uint64_t revision) const {
     std::vector<std::string> missing;
     auto collect = [&](const auto& entries, const auto& key_of) {
@@ -273,7 +278,7 @@
         jobs_.erase(key.substr(keys::kJobs.size()));
     } else if (starts_with(key, keys::kRelays)) {
         relays.erase(key.substr(keys::kRelays.size()));
-        ++relay_changes_anywhere_;
+        ++relay_changes_in_any_zone_;
     } else if (starts_with(key, keys::kZoneRecords)) {
         zone_records.erase(key.substr(keys::kZoneRecords.size()));
     } else if (auto part = keys::parse_registry_part(key)) {
@@ -302,21 +307,21 @@
 }
 
 std::optional<FinishedJobRecord> StoreReplica::ended(const std::string& job_id) const {
-    auto entry = ended_.find(job_id);
-    if (entry == ended_.end()) {
+    auto entry = finished_jobs_.find(job_id);
+    if (entry == finished_jobs_.end()) {
         return std::nullopt;
     }
     return entry->second;
 }
 
 void StoreReplica::remember_ended(const std::string& job_id, const FinishedJobRecord& record) {
-    if (!ended_.emplace(job_id, record).second) {
-        return;  // an ended job never changes again
+    if (!finished_jobs_.emplace(job_id, record).second) {
+        return;  // the record of a finished job never changes
     }
-    ended_order_.push_back(job_id);
-    if (ended_order_.size() > kMaxEndedJobs) {
-        ended_.erase(ended_order_.front());
-        ended_order_.pop_front();
+    finished_job_order_.push_back(job_id);
+    if (finished_job_order_.size() > kMaxFinishedJobs) {
+        finished_jobs_.erase(finished_job_order_.front());
+        finished_job_order_.pop_front();
     }
 }
 
@@ -327,8 +332,8 @@
         return counts;
     }
     for (const auto& [index, record] : *records) {
-        counts.done += done_tasks(record.value);
-        counts.running += running_tasks(record.value);
+        counts.done += count_done_tasks(record.value);
+        counts.running += count_running_tasks(record.value);
     }
     return counts;
 }
--- a/src/coordination/store/store_watcher.cpp
+++ b/src/coordination/store/store_watcher.cpp
@@ -9,7 +9,7 @@
 namespace walkford {
 
 namespace {
-// Ended jobs are not part of the snapshot: they are looked up when asked for.
+// Finished jobs are not part of the snapshot; they are read from the store on request.
 const std::array<std::string, 9>& snapshot_prefixes() {
     static const std::array<std::string, 9> prefixes{
         keys::kLeader,       keys::kRegistry,      keys::kRegistryParts,
@@ -18,9 +18,9 @@
     return prefixes;
 }
 constexpr Ms kWatchTimeout = 20000;
-// Barriers count as requests: callers within this span share one.
+// Each barrier costs a request to the store, so callers within this interval share one.
 constexpr Ms kBarrierSpacing = 25;
-// Delays before a retry; as much again is added at random.
+// Delays before a retry. A random delay of up to the same length is added.
 constexpr Ms kSnapshotRetry = 200;
 constexpr Ms kWatchRetry = 250;
 }  // namespace
@@ -29,13 +29,13 @@
     : client_(client), replica_(replica), out_(out), jitter_(std::move(jitter)) {}
 
 void StoreWatcher::tick(Ms now) {
-    if (!ready_ && !loading_snapshot_ && now >= snapshot_at_) {
+    if (!ready_ && !loading_snapshot_ && now >= next_snapshot_at_) {
         start_snapshot();
     }
-    if (ready_ && !watching_ && now >= watch_at_) {
+    if (ready_ && !watching_ && now >= next_watch_at_) {
         watch();
     }
-    if (ready_ && !barrier_open_ && !waiting_.empty() &&
+    if (ready_ && !barrier_in_flight_ && !waiting_callbacks_.empty() &&
         now >= barrier_sent_at_ + kBarrierSpacing) {
         start_barrier(now);
     }
@@ -43,10 +43,10 @@
 
 Ms StoreWatcher::due() const {
     if (!ready_) {
-        return loading_snapshot_ ? kNever : snapshot_at_;
+        return loading_snapshot_ ? kNever : next_snapshot_at_;
     }
-    Ms due = watching_ ? kNever : watch_at_;
-    if (!waiting_.empty() && !barrier_open_) {
+    Ms due = watching_ ? kNever : next_watch_at_;
+    if (!waiting_callbacks_.empty() && !barrier_in_flight_) {
         due = std::min(due, barrier_sent_at_ + kBarrierSpacing);
     }
     return due;
@@ -57,8 +57,8 @@
     ready_ = false;
     watching_ = false;
     ++snapshots_;
-    page_prefix_ = 0;
-    page_after_.clear();
+    page_prefix_index_ = 0;
+    page_after_key_.clear();
     snapshot_revision_.reset();
     replica_.begin_snapshot();
     request_page();
@@ -66,19 +66,19 @@
 
 void StoreWatcher::request_page() {
     client_.list(
-        snapshot_prefixes().at(page_prefix_), page_after_,
+        snapshot_prefixes().at(page_prefix_index_), page_after_key_,
         [this](Ms now, const StoreResponse& response) { on_page(now, response); }, out_);
 }
 
 void StoreWatcher::on_page(Ms now, const StoreResponse& response) {
     if (response.status != StoreStatus::ok) {
         loading_snapshot_ = false;
-        snapshot_at_ = now + kSnapshotRetry + jitter_(kSnapshotRetry);
+        next_snapshot_at_ = now + kSnapshotRetry + jitter_(kSnapshotRetry);
         return;
     }
-    // Pages are read one after the other; changes are followed from before the first. (Revision 0
-    // is valid: taken for "none yet", it once hid the very first change, the leader's key, from
-    // controllers that had read an empty store.)
+    // Pages are read one after the other, so the watch starts at the revision of the first page.
+    // Revision 0 is valid. When it was used to mean "no revision yet", controllers that had read an
+    // empty store missed the first change, which was the leader's key.
     if (!snapshot_revision_) {
         snapshot_revision_ = response.revision;
     }
@@ -86,12 +86,12 @@
         replica_.apply(row);
     }
     if (response.more && !response.rows.empty()) {
-        page_after_ = response.rows.back().key;
+        page_after_key_ = response.rows.back().key;
     } else {
-        page_after_.clear();
-        ++page_prefix_;
+        page_after_key_.clear();
+        ++page_prefix_index_;
     }
-    if (page_prefix_ < snapshot_prefixes().size()) {
+    if (page_prefix_index_ < snapshot_prefixes().size()) {
         request_page();
     } else {
         finish_snapshot(now);
@@ -102,7 +102,7 @@
     replica_.end_snapshot(*snapshot_revision_);
     loading_snapshot_ = false;
     ready_ = true;
-    spdlog::info("state read: {} live jobs, revision {}", replica_.jobs().size(),
+    spdlog::info("store snapshot loaded: {} live jobs, revision {}", replica_.jobs().size(),
                  replica_.revision());
     if (on_change) {
         on_change(now, "");
@@ -131,57 +131,61 @@
     client_.changes(
         replica_.revision(), kWatchTimeout,
         [this, snapshot = snapshots_](Ms now, const StoreResponse& response) {
-            on_watched(now, response, snapshot);
+            on_watch_response(now, response, snapshot);
         },
         out_);
 }
 
-void StoreWatcher::on_watched(Ms now, const StoreResponse& response, std::uint64_t snapshot) {
+void StoreWatcher::on_watch_response(Ms now, const StoreResponse& response,
+                                     std::uint64_t snapshot) {
     if (snapshot != snapshots_) {
         return;
     }
     watching_ = false;
-    watch_at_ = now + watch_spacing_;
+    next_watch_at_ = now + watch_spacing_;
     if (response.status == StoreStatus::ok) {
         apply(now, response);
     } else if (response.status == StoreStatus::compacted) {
-        spdlog::info("changes compacted, reading the state again");
+        spdlog::info("store watch: changes after revision {} compacted; loading a new snapshot",
+                     replica_.revision());
         ready_ = false;
-        snapshot_at_ = now;
-        run_callbacks(now, std::exchange(waiting_, {}), false);
+        next_snapshot_at_ = now;
+        run_callbacks(now, std::exchange(waiting_callbacks_, {}), false);
     } else {
-        watch_at_ = now + kWatchRetry + jitter_(kWatchRetry);
+        next_watch_at_ = now + kWatchRetry + jitter_(kWatchRetry);
     }
 }
 
-void StoreWatcher::barrier(Ms now, BarrierCallback then) {
+void StoreWatcher::barrier(Ms now, BarrierCallback callback) {
     if (!ready_) {
-        then(now, false);
+        callback(now, false);
         return;
     }
-    waiting_.push_back(std::move(then));
-    if (!barrier_open_ && now >= barrier_sent_at_ + kBarrierSpacing) {
+    waiting_callbacks_.push_back(std::move(callback));
+    if (!barrier_in_flight_ && now >= barrier_sent_at_ + kBarrierSpacing) {
         start_barrier(now);
     }
 }
 
 void StoreWatcher::start_barrier(Ms now) {
-    barrier_open_ = true;
+    barrier_in_flight_ = true;
     barrier_sent_at_ = now;
-    // Shared, as a std::function must be copyable.
-    auto served = std::make_shared<std::vector<BarrierCallback>>(std::exchange(waiting_, {}));
+    // Held by a shared_ptr because a std::function must be copyable.
+    auto callbacks =
+        std::make_shared<std::vector<BarrierCallback>>(std::exchange(waiting_callbacks_, {}));
     client_.changes(
         replica_.revision(), 0,
-        [this, served, sent_at = now, snapshot = snapshots_](Ms at, const StoreResponse& response) {
-            bool confirmed = on_barrier_read(at, sent_at, response, snapshot);
-            run_callbacks(at, *served, confirmed);
+        [this, callbacks, sent_at = now, snapshot = snapshots_](Ms at,
+                                                                const StoreResponse& response) {
+            bool confirmed = on_barrier_response(at, sent_at, response, snapshot);
+            run_callbacks(at, *callbacks, confirmed);
         },
         out_);
 }
 
-bool StoreWatcher::on_barrier_read(Ms now, Ms sent_at, const StoreResponse& response,
-                                   std::uint64_t snapshot) {
-    barrier_open_ = false;
+bool StoreWatcher::on_barrier_response(Ms now, Ms sent_at, const StoreResponse& response,
+                                       std::uint64_t snapshot) {
+    barrier_in_flight_ = false;
     if (!ready_ || snapshot != snapshots_) {
         return false;
     }
@@ -192,7 +196,7 @@
     }
     if (response.status == StoreStatus::compacted) {
         ready_ = false;
-        snapshot_at_ = now;
+        next_snapshot_at_ = now;
     }
     return false;
 }
--- a/tests/measure/decision_digest.cpp
+++ b/tests/measure/decision_digest.cpp
@@ -1,8 +1,8 @@
-// Prints one hash a scenario of the simulated world over everything that the controllers put out
-// and when: calls, commands, answers. A change of the sources that is not meant to change a
-// decision leaves every hash as it was. Log text is not part of it.
+// Prints one hash per scenario of the simulated world. The hash covers all outputs of the
+// controllers (calls, commands and responses) and their times, but no log text. A source change
+// that is not meant to change a decision must leave every hash unchanged.
 //
-//     decision_digest [SEEDS]      seeds of each scenario; 20 without it
+//     decision_digest [SEEDS]      number of seeds per scenario, 20 by default
 #include <spdlog/spdlog.h>
 
 #include <cstdlib>
@@ -17,8 +17,8 @@
 
 constexpr std::uint64_t kDefaultSeeds = 20;
 
-// FNV-1a over 64 bits; lengths are hashed too, so that neighbouring fields can't be mistaken for
-// one another.
+// 64-bit FNV-1a hash. Lengths are hashed too, so that moving bytes from one field to an adjacent
+// one changes the hash.
 class Digest {
   public:
     std::uint64_t value() const { return value_; }
@@ -43,34 +43,42 @@
         }
     }
     void add(const std::optional<Json>& value) { add(value ? value->dump() : std::string()); }
-    void add(const WorkerCommand& o) { add_all(o.type, o.job, o.task, o.attempt, o.grace_s); }
-    void add(const Comparison& c) { add_all(c.key, c.version); }
-    void add(const Write& w) { add_all(w.key, w.value.has_value(), w.value, w.lease); }
-    void add(const UserResponse& a) {
-        add_all(a.request, a.code, a.id, a.status, a.done, a.running, a.with_counts,
-                a.retry_after_s, a.error);
-    }
-    void add(const HeartbeatResponse& a) {
-        add_all(a.request, a.code, a.fencing_token, a.commands, a.leader);
-    }
-    void add(const StoreRequest& c) {
-        add_all(c.call, c.operation, c.key, c.after_key, c.after, c.wait_ms, c.lease, c.ttl_ms,
-                c.transaction.comparisons, c.transaction.writes);
-    }
-    void add(const CloudRequest& c) {
-        add_all(c.call, c.operation, c.request_name, c.machine_type, c.zone, c.spot, c.count,
-                c.names, c.after);
-    }
-    void add(const WorkerRequest& c) {
-        add_all(c.call, c.address, c.fencing_token, c.incarnation, c.commands);
-    }
-    void add(const OutgoingPeerHeartbeat& p) {
-        const PeerHeartbeat& f = p.peer_heartbeat;
-        add_all(p.peer, f.controller, f.incarnation, f.sequence, f.echo, f.echo_incarnation,
-                f.fencing_token, f.leader, f.ms_since_store_response, f.revision, f.uptime_ms,
-                f.ms_since_worker_heartbeat);
-    }
-    void add(const WakeAt& w) { add(w.at); }
+    void add(const WorkerCommand& command) {
+        add_all(command.type, command.job, command.task, command.attempt, command.grace_s);
+    }
+    void add(const Comparison& comparison) { add_all(comparison.key, comparison.version); }
+    void add(const Write& write) {
+        add_all(write.key, write.value.has_value(), write.value, write.lease);
+    }
+    void add(const UserResponse& response) {
+        add_all(response.request, response.code, response.id, response.status, response.done,
+                response.running, response.with_counts, response.retry_after_s, response.error);
+    }
+    void add(const HeartbeatResponse& response) {
+        add_all(response.request, response.code, response.fencing_token, response.commands,
+                response.leader);
+    }
+    void add(const StoreRequest& request) {
+        add_all(request.call, request.operation, request.key, request.after_key, request.after,
+                request.wait_ms, request.lease, request.ttl_ms, request.transaction.comparisons,
+                request.transaction.writes);
+    }
+    void add(const CloudRequest& request) {
+        add_all(request.call, request.operation, request.request_name, request.machine_type,
+                request.zone, request.spot, request.count, request.names, request.after);
+    }
+    void add(const WorkerRequest& request) {
+        add_all(request.call, request.address, request.fencing_token, request.incarnation,
+                request.commands);
+    }
+    void add(const OutgoingPeerHeartbeat& message) {
+        const PeerHeartbeat& heartbeat = message.peer_heartbeat;
+        add_all(message.peer, heartbeat.controller, heartbeat.incarnation, heartbeat.sequence,
+                heartbeat.echo, heartbeat.echo_incarnation, heartbeat.fencing_token,
+                heartbeat.leader, heartbeat.ms_since_store_response, heartbeat.revision,
+                heartbeat.uptime_ms, heartbeat.ms_since_worker_heartbeat);
+    }
+    void add(const WakeAt& wake_at) { add(wake_at.at); }
     void add(const Output& output) {
         add(output.index());
         std::visit([this](const auto& message) { add(message); }, output);
@@ -88,76 +96,76 @@
     std::uint64_t value_ = 14695981039346656037U;
 };
 
-Options all_troubles(std::uint64_t seed) {
-    Options o;
-    o.seed = seed;
-    o.duration = 120000;
-    o.calm = 120000;
-    o.services = 4;
-    return o;
+Options all_faults(std::uint64_t seed) {
+    Options options;
+    options.seed = seed;
+    options.duration = 120000;
+    options.calm = 120000;
+    options.services = 4;
+    return options;
 }
 
 Options rollout(std::uint64_t seed) {
-    Options o = all_troubles(seed);
-    o.rollout_at = 30000;
-    o.limits_fall_at = 60000;
-    return o;
+    Options options = all_faults(seed);
+    options.rollout_at = 30000;
+    options.limits_fall_at = 60000;
+    return options;
 }
 
 Options fleet(std::uint64_t seed) {
-    Options o;
-    o.seed = seed;
-    o.controllers = 5;
-    o.jobs = 300;
-    o.services = 10;
-    o.cloud_room = 60;
-    o.duration = 150000;
-    return o;
+    Options options;
+    options.seed = seed;
+    options.controllers = 5;
+    options.jobs = 300;
+    options.services = 10;
+    options.cloud_room = 60;
+    options.duration = 150000;
+    return options;
 }
 
 Options gap(std::uint64_t seed) {
-    Options o;
-    o.seed = seed;
-    o.gap_at = 50000;
-    o.gap_restarts = seed % 2 == 0;
-    return o;
+    Options options;
+    options.seed = seed;
+    options.gap_at = 50000;
+    options.gap_restarts = seed % 2 == 0;
+    return options;
 }
 
 Options outage(std::uint64_t seed) {
-    Options o;
-    o.seed = seed;
-    o.outage_at = 50000;
-    o.outage_for = 40000;
-    return o;
+    Options options;
+    options.seed = seed;
+    options.outage_at = 50000;
+    options.outage_for = 40000;
+    return options;
 }
 
 Options zone_loss(std::uint64_t seed) { return evacuation(seed); }
 
-Options zone_loss_with_troubles(std::uint64_t seed) {
-    Options o = cold_return(seed);
-    o.faults = true;
-    o.jobs = 12;
-    return o;
+Options zone_loss_with_faults(std::uint64_t seed) {
+    Options options = cold_return(seed);
+    options.faults = true;
+    options.jobs = 12;
+    return options;
 }
 
 struct Scenario {
     const char* name;
-    Options (*options)(std::uint64_t seed);
+    Options (*make_options)(std::uint64_t seed);
 };
 constexpr Scenario kScenarios[] = {
-    {"all_troubles", all_troubles},
+    {"all_troubles", all_faults},
     {"rollout", rollout},
     {"fleet", fleet},
     {"gap", gap},
     {"outage", outage},
     {"zone_loss", zone_loss},
-    {"zone_loss_with_troubles", zone_loss_with_troubles},
+    {"zone_loss_with_troubles", zone_loss_with_faults},
 };
 
-std::uint64_t digest_of(const Scenario& scenario, std::uint64_t seeds) {
+std::uint64_t digest_scenario(const Scenario& scenario, std::uint64_t seeds) {
     Digest digest;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        Options options = scenario.options(seed);
+        Options options = scenario.make_options(seed);
         options.on_outputs = [&digest](Ms now, std::size_t controller, const Outputs& outputs) {
             digest.add_all(now, controller, outputs);
         };
@@ -175,8 +183,8 @@
     spdlog::set_level(spdlog::level::off);
     std::uint64_t seeds = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : kDefaultSeeds;
     for (const Scenario& scenario : kScenarios) {
-        std::cout << scenario.name << ' ' << std::hex << digest_of(scenario, seeds) << std::dec
-                  << std::endl;
+        std::cout << scenario.name << ' ' << std::hex << digest_scenario(scenario, seeds)
+                  << std::dec << std::endl;
     }
     return EXIT_SUCCESS;
 }
--- a/tests/measure/decision_digest_agrees.sh
+++ b/tests/measure/decision_digest_agrees.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Runs decision_digest twice with the same number of seeds; fails unless both runs print the same.
+# Runs decision_digest twice with the same number of seeds. Fails unless both runs print the same
+# hashes.
 set -euo pipefail
 digest=$1
 seeds=$2
@@ -7,4 +8,8 @@
 second=$("$digest" "$seeds")
 [ -n "$first" ]
 echo "$first"
-[ "$first" = "$second" ] || { echo "the second run differs:"; echo "$second"; exit 1; }
+[ "$first" = "$second" ] || {
+  echo "decision_digest printed different hashes in the second run:"
+  echo "$second"
+  exit 1
+}
--- a/tests/measure/zone_failover_measure.cpp
+++ b/tests/measure/zone_failover_measure.cpp
@@ -1,5 +1,6 @@
-// Plays days with a lost zone, with zone failover and without, and prints what happened as comma
-// separated values: one table to each file named on the command line.
+// Simulates days on which a zone is lost, with zone failover and without. Writes the results as
+// comma-separated values to moved.csv, fetched.csv and days.csv in the directory named on the
+// command line.
 #include <spdlog/spdlog.h>
 
 #include <cstdlib>
@@ -11,12 +12,12 @@
 namespace walkford::standin {
 namespace {
 
-constexpr int kUsage = 2;
+constexpr int kUsageErrorExitCode = 2;
 
 double seconds(Ms span) { return static_cast<double>(span) / 1000.0; }
 
-// Attempts beyond each task's first.
-std::size_t restarts(const World& world) {
+// Counts the attempts of all tasks, without each task's first attempt.
+std::size_t count_restarts(const World& world) {
     std::map<std::pair<std::string, std::uint32_t>, std::size_t> starts;
     for (const TaskEvent& event : world.history) {
         starts[{event.job, event.task}] += event.what == TaskEvent::What::began;
@@ -29,12 +30,13 @@
 }
 
 struct Tables {
-    std::ofstream moved;    // when displaced jobs were started again
-    std::ofstream fetched;  // image fetches in the zone that returned cold
-    std::ofstream days;     // one row a day
+    std::ofstream moved;    // the times at which displaced jobs were restarted
+    std::ofstream fetched;  // image fetches in the lost zone after its return
+    std::ofstream days;     // one row per simulated day
 };
 
-void measure(Tables& tables, const std::string& day, const std::string& variant, Options options) {
+void measure_day(Tables& tables, const std::string& day, const std::string& variant,
+                 Options options) {
     options.zone_failover.enabled = variant == "on";
     std::uint64_t seed = options.seed;
     World world(std::move(options));
@@ -54,7 +56,7 @@
     }
     auto [in_zone, on_machine] = most_fetched(world);
     tables.days << day << ',' << variant << ',' << seed << ',' << world.jobs_done << ','
-                << restarts(world) << ',' << in_zone << ',' << on_machine << ','
+                << count_restarts(world) << ',' << in_zone << ',' << on_machine << ','
                 << world.violations.size() << '\n';
 }
 
@@ -65,7 +67,7 @@
     using namespace walkford::standin;
     if (argc != 3) {
         std::cerr << "usage: zone_failover_measure DIRECTORY SEEDS\n";
-        return kUsage;
+        return kUsageErrorExitCode;
     }
     spdlog::set_level(spdlog::level::off);
     std::string directory = argv[1];
@@ -74,13 +76,13 @@
                   std::ofstream(directory + "/fetched.csv"),
                   std::ofstream(directory + "/days.csv")};
     if (!tables.moved || !tables.fetched || !tables.days) {
-        std::cerr << "can't write to " << directory << "\n";
+        std::cerr << "can't open the output files in " << directory << "\n";
         return EXIT_FAILURE;
     }
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         for (const char* variant : {"off", "on"}) {
-            measure(tables, "warm", variant, evacuation(seed));
-            measure(tables, "cold", variant, cold_return(seed));
+            measure_day(tables, "warm", variant, evacuation(seed));
+            measure_day(tables, "cold", variant, cold_return(seed));
         }
     }
     return EXIT_SUCCESS;
--- a/tests/measure/zone_failover_report.sh
+++ b/tests/measure/zone_failover_report.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures zone failover in the simulated world, on and off, and makes an HTML report with plots.
+# Measures the simulated world with zone failover on and off, and writes an HTML report with plots.
 #   zone_failover_report.sh BUILD_DIRECTORY OUTPUT_DIRECTORY [SEEDS]
 # Needs gnuplot and awk.
 set -euo pipefail
@@ -9,7 +9,7 @@
 mkdir -p "$out"
 "$build/tests/zone_failover_measure" "$out" "$seeds"
 
-# Mean, median and longest time to run again, by day, class and variant.
+# The mean, median and maximum time until a displaced job restarts, by day, class and variant.
 awk -F, '
   { key = $1 "," $4 "," $2; n[key]++; sum[key] += $5; all[key, n[key]] = $5 }
   END {
@@ -25,21 +25,22 @@
     }
   }' "$out/moved.csv" | sort > "$out/summary.csv"
 
-# Per day and variant: mean jobs done and restarts, most fetches at once, broken rules.
+# By day and variant: the mean numbers of jobs done and restarts, the maximum numbers of concurrent
+# fetches in the zone and on a machine, and the number of rule violations.
 awk -F, '
-  { key = $1 "," $2; n[key]++; done[key] += $4; again[key] += $5; bad[key] += $8
+  { key = $1 "," $2; n[key]++; done[key] += $4; restarts[key] += $5; violations[key] += $8
     if ($6 > zone[key]) zone[key] = $6
     if ($7 > machine[key]) machine[key] = $7 }
   END {
     for (key in n)
-      printf "%s,%d,%.1f,%.1f,%d,%d,%d\n", key, n[key], done[key] / n[key], again[key] / n[key], \
-        zone[key], machine[key], bad[key]
+      printf "%s,%d,%.1f,%.1f,%d,%d,%d\n", key, n[key], done[key] / n[key], \
+        restarts[key] / n[key], zone[key], machine[key], violations[key]
   }' "$out/days.csv" | sort > "$out/totals.csv"
 
 for day in warm cold; do
   for class in closing scoring other; do
     for variant in off on; do
-      # The share of displaced jobs that were started again by then.
+      # For each time, the fraction of displaced jobs that were restarted by then.
       awk -F, -v d="$day" -v c="$class" -v v="$variant" \
         '$1 == d && $4 == c && $2 == v { print $5 }' "$out/moved.csv" | sort -n |
         awk '{ t[NR] = $1 } END { for (i = 1; i <= NR; i++) print t[i], i / NR }' \
@@ -57,7 +58,7 @@
 set key outside
 set grid
 set xlabel "seconds after the loss"
-set ylabel "share started again"
+set ylabel "fraction of jobs restarted"
 set yrange [0:1]
 do for [day in "warm cold"] {
   set output "$out/moved-".day.".svg"
@@ -68,9 +69,9 @@
          using 1:2 with steps lw 1 dt 2 lc i title word("closing scoring other", i)." off"
 }
 set output "$out/fetches.svg"
-set title "Image fetches at once in the zone that returned cold"
+set title "Concurrent image fetches in the zone that returned with cold caches"
 set xlabel "seconds after the return"
-set ylabel "fetches at once"
+set ylabel "concurrent fetches"
 set yrange [0:*]
 plot "$out/fetches-off.dat" using 1:2 with points pt 7 ps 0.4 title "off", \
      "$out/fetches-on.dat" using 1:2 with points pt 7 ps 0.6 title "on"
@@ -85,11 +86,13 @@
   echo "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\">"
   echo "<title>Zone failover</title></head><body>"
   echo "<h1>Zone failover: simulated world, $seeds seeds</h1>"
-  echo "<p>Times are from the loss to the order that starts a displaced job again.</p>"
-  table "$out/summary.csv" "day,class,variant,jobs,mean s,median s,longest s"
+  echo "<p>Times run from the loss of the zone to the command that restarts a displaced job.</p>"
+  table "$out/summary.csv" "day,class,variant,jobs,mean s,median s,maximum s"
   for day in warm cold; do sed '1,/<svg/{/<svg/!d}' "$out/moved-$day.svg"; done
   echo "<h2>Days</h2>"
-  table "$out/totals.csv" "day,variant,days,jobs done,restarts,most fetches in the zone,most on a machine,broken rules"
+  heading="day,variant,days,jobs done,restarts,max concurrent fetches in the zone"
+  heading+=",max concurrent fetches on a machine,rule violations"
+  table "$out/totals.csv" "$heading"
   sed '1,/<svg/{/<svg/!d}' "$out/fetches.svg"
   echo "</body></html>"
 } > "$out/index.html"
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,4 +1,5 @@
-// The replica of the store and its watcher, and the pacing of requests to store and cloud.
+// Tests of the store replica and its watcher, and of the rate limits for requests to the store and
+// to the cloud.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
@@ -11,23 +12,23 @@
 namespace walkford {
 namespace {
 
-// Two thousand machines are listed in four pages; whoever rents or gives back does not wait behind
-// them.
+// A list of 2000 machines takes four calls. Requests that add or remove machines must not wait
+// behind these calls.
 TEST(CloudClient, SendsScaleOutRequestsBeforeLists) {
-    CloudClient pending(2.5);  // two calls a second
+    CloudClient client(2.5);  // two calls per second
     Outputs out;
     for (CloudOperation operation : {CloudOperation::list, CloudOperation::list,
                                      CloudOperation::scale_in, CloudOperation::scale_out}) {
-        CloudRequest c;
-        c.operation = operation;
-        pending.call(std::move(c), [](Ms, const CloudResponse&) {});
+        CloudRequest request;
+        request.operation = operation;
+        client.call(std::move(request), [](Ms, const CloudResponse&) {});
     }
     std::vector<CloudOperation> order;
     for (Ms now = 0; now <= 3000; now += 100) {
-        pending.send_queued(now, out);
+        client.send_queued(now, out);
     }
-    for (const Output& o : out) {
-        order.push_back(std::get<CloudRequest>(o).operation);
+    for (const Output& output : out) {
+        order.push_back(std::get<CloudRequest>(output).operation);
     }
     EXPECT_EQ(order, (std::vector{CloudOperation::scale_in, CloudOperation::scale_out,
                                   CloudOperation::list, CloudOperation::list}));
@@ -36,100 +37,103 @@
 TEST(StoreReplica, IgnoresAChangeOlderThanADeletion) {
     Names names;
     names.teams.intern("red");
-    StoreReplica v(names);
-    JobSpec s;
-    s.id = "j-1";
-    s.team = 0;
-    Json job = encode_job({s, false}, names);
-    v.apply({keys::job("j-1"), job, 5});
-    v.apply({keys::job("j-1"), std::nullopt, 9});
-    v.apply({keys::job("j-1"), job, 5});
-    EXPECT_EQ(v.job("j-1"), nullptr);
+    StoreReplica replica(names);
+    JobSpec spec;
+    spec.id = "j-1";
+    spec.team = 0;
+    Json job = encode_job({spec, false}, names);
+    replica.apply({keys::job("j-1"), job, 5});
+    replica.apply({keys::job("j-1"), std::nullopt, 9});
+    replica.apply({keys::job("j-1"), job, 5});
+    EXPECT_EQ(replica.job("j-1"), nullptr);
 }
 
-// Changes asked for before a reading of the whole state, answered after it: a job that the reading
-// no longer found (it had ended) was known as live again, for ever, and its end was taken back.
-TEST(StoreWatcher, DropsChangesRequestedBeforeAFullRead) {
+// Guards against a finished job becoming live again permanently. This happened when changes were
+// requested before a snapshot and the response arrived after it: the job had finished and was no
+// longer in the snapshot, and the old change restored it.
+TEST(StoreWatcher, IgnoresChangesRequestedBeforeASnapshot) {
     spdlog::set_level(spdlog::level::off);
-    PlatformSettings p;
-    p.controller_name = "n0";
-    p.zones = {"a"};
-    ControllerContext context(p, {}, 1);
+    PlatformSettings settings;
+    settings.controller_name = "n0";
+    settings.zones = {"a"};
+    ControllerContext context(settings, {}, 1);
     StoreWatcher watcher(context.store, context.replica, context.out,
-                         [&context](Ms most) { return context.jitter(most); });
-    std::vector<StoreRequest> asked;
-    auto collect = [&] {
-        for (Output& o : context.out) {
-            if (auto* c = std::get_if<StoreRequest>(&o)) {
-                asked.push_back(*c);
+                         [&context](Ms max_delay) { return context.jitter(max_delay); });
+    std::vector<StoreRequest> requests;
+    auto collect_requests = [&] {
+        for (Output& output : context.out) {
+            if (auto* request = std::get_if<StoreRequest>(&output)) {
+                requests.push_back(*request);
             }
         }
         context.out.clear();
     };
-    auto reply = [&](Ms now, const StoreRequest& c, StoreStatus status, std::uint64_t revision,
-                     std::vector<StoreEntry> rows = {}) {
-        StoreResponse r;
-        r.call = c.call;
-        r.status = status;
-        r.revision = revision;
-        r.rows = std::move(rows);
-        context.store.reply(now, r);
-        collect();
+    auto respond = [&](Ms now, const StoreRequest& request, StoreStatus status,
+                       std::uint64_t revision, std::vector<StoreEntry> rows = {}) {
+        StoreResponse response;
+        response.call = request.call;
+        response.status = status;
+        response.revision = revision;
+        response.rows = std::move(rows);
+        context.store.reply(now, response);
+        collect_requests();
     };
-    auto read_all = [&](Ms now, std::uint64_t revision) {
+    auto load_snapshot = [&](Ms now, std::uint64_t revision) {
         watcher.tick(now);
-        collect();
-        ASSERT_EQ(asked.back().operation, StoreOperation::list);
-        constexpr int kMostReadings = 20;
-        for (int i = 0; i < kMostReadings && asked.back().operation == StoreOperation::list; ++i) {
-            reply(now, StoreRequest(asked.back()), StoreStatus::ok, revision);
+        collect_requests();
+        ASSERT_EQ(requests.back().operation, StoreOperation::list);
+        constexpr int kMaxPages = 20;
+        for (int page = 0; page < kMaxPages && requests.back().operation == StoreOperation::list;
+             ++page) {
+            respond(now, StoreRequest(requests.back()), StoreStatus::ok, revision);
         }
         ASSERT_TRUE(watcher.ready());
     };
-    read_all(1000, 10);
-    StoreRequest watch = asked.back();
-    ASSERT_EQ(watch.operation, StoreOperation::changes);
-    int proven = 0, failed = 0;
-    watcher.barrier(2000, [&](Ms, bool ok) { (ok ? proven : failed) += 1; });
-    collect();
-    StoreRequest barrier = asked.back();
-    reply(2100, watch, StoreStatus::compacted, 10);
-    read_all(2200, 12000);
-    JobSpec s;
-    s.id = "j-1";
-    s.team = 0;
+    load_snapshot(1000, 10);
+    StoreRequest watch_request = requests.back();
+    ASSERT_EQ(watch_request.operation, StoreOperation::changes);
+    int confirmed_count = 0, unconfirmed_count = 0;
+    watcher.barrier(
+        2000, [&](Ms, bool confirmed) { (confirmed ? confirmed_count : unconfirmed_count) += 1; });
+    collect_requests();
+    StoreRequest barrier_request = requests.back();
+    respond(2100, watch_request, StoreStatus::compacted, 10);
+    load_snapshot(2200, 12000);
+    JobSpec spec;
+    spec.id = "j-1";
+    spec.team = 0;
     context.names.teams.intern("red");
-    StoreEntry old{keys::job("j-1"), encode_job({s, false}, context.names), 11};
-    reply(2300, barrier, StoreStatus::ok, 11, {old});
+    StoreEntry outdated_row{keys::job("j-1"), encode_job({spec, false}, context.names), 11};
+    respond(2300, barrier_request, StoreStatus::ok, 11, {outdated_row});
     EXPECT_EQ(context.replica.job("j-1"), nullptr);
-    EXPECT_EQ(proven, 0);
-    EXPECT_EQ(failed, 1);
+    EXPECT_EQ(confirmed_count, 0);
+    EXPECT_EQ(unconfirmed_count, 1);
 }
 
 TEST(StoreClient, SendsSafetyWritesFirstWithinTheRateLimit) {
-    StoreClient pending(StoreLimits{1000, 10, 4, 8}, std::nullopt, 3);
-    pending.set_leading(true);
+    StoreClient client(StoreLimits{1000, 10, 4, 8}, std::nullopt, 3);
+    client.set_leading(true);
     Outputs out;
-    pending.send_queued(0, out);
-    std::vector<std::string> sent;
-    auto put = [&](RequestPriority u, const std::string& key) {
-        Transaction t;
-        t.writes = {{key, Json(1), 0}};
-        pending.transaction(u, std::move(t), [](Ms, const StoreResponse&) {});
+    client.send_queued(0, out);
+    std::vector<std::string> sent_keys;
+    auto queue_write = [&](RequestPriority priority, const std::string& key) {
+        Transaction transaction;
+        transaction.writes = {{key, Json(1), 0}};
+        client.transaction(priority, std::move(transaction), [](Ms, const StoreResponse&) {});
     };
     for (int i = 0; i < 60; ++i) {
-        put(RequestPriority::progress, "p");
+        queue_write(RequestPriority::progress, "p");
     }
-    put(RequestPriority::cancel, "c");
-    for (Ms t = 0; t <= 3000; t += 50) {
-        pending.send_queued(t, out);
+    queue_write(RequestPriority::cancel, "c");
+    for (Ms now = 0; now <= 3000; now += 50) {
+        client.send_queued(now, out);
     }
-    for (Output& o : out) {
-        sent.push_back(std::get<StoreRequest>(o).transaction.writes[0].key);
+    for (Output& output : out) {
+        sent_keys.push_back(std::get<StoreRequest>(output).transaction.writes[0].key);
     }
-    EXPECT_EQ(sent.at(0), "c");
-    EXPECT_LE(sent.size(), 3 * 10 + 10U);
-    EXPECT_GE(sent.size(), 15U);
+    EXPECT_EQ(sent_keys.at(0), "c");
+    EXPECT_LE(sent_keys.size(), 3 * 10 + 10U);
+    EXPECT_GE(sent_keys.size(), 15U);
 }
 
 }  // namespace
