--- a/src/coordination/cloud/machine_registry.cpp
+++ b/src/coordination/cloud/machine_registry.cpp
@@ -92,7 +92,7 @@
 }
 
 std::size_t MachineRegistry::part_limit() const {
-    return std::min(context_.controller.store.limits().value_bytes() / kPartFillDivisor,
+    return std::min(context_.controller.store.limits().max_value_bytes() / kPartFillDivisor,
                     kMaxPartBytes);
 }
 
@@ -180,7 +180,7 @@
     if (first.machines.empty() || !split_allowed()) {
         return false;
     }
-    std::size_t limit = context_.controller.store.limits().value_bytes();
+    std::size_t limit = context_.controller.store.limits().max_value_bytes();
     return is_split() || (first.bytes > limit && encode(0).dump().size() > limit);
 }
 
@@ -211,7 +211,8 @@
 bool MachineRegistry::add_scale_out_request(const ScaleOutRequest& request) {
     scale_out_requests_.push_back(request);
     const EffectiveStoreLimits& limits = context_.controller.store.limits();
-    std::size_t limit = split_allowed() ? limits.value_bytes() : limits.current_value_bytes();
+    std::size_t limit =
+        split_allowed() ? limits.max_value_bytes() : limits.max_current_value_bytes();
     std::size_t bytes = first_part_bytes();
     if (bytes > limit && split_allowed() && !is_split()) {
         split();
--- a/src/coordination/controller/peer_heartbeats.cpp
+++ b/src/coordination/controller/peer_heartbeats.cpp
@@ -55,7 +55,7 @@
     heartbeat.echo_incarnation = monitor.last().incarnation;
     heartbeat.fencing_token = leadership_.known_fencing_token();
     heartbeat.leader = leadership_.known_leader();
-    heartbeat.ms_since_store_response = elapsed_since(context_.store.last_reached(), now);
+    heartbeat.ms_since_store_response = elapsed_since(context_.store.last_served_at(), now);
     heartbeat.uptime_ms = now - times_.started_at;
     heartbeat.revision = context_.store.seen_revision();
     heartbeat.ms_since_worker_heartbeat = elapsed_since(times_.worker_heartbeat_received_at, now);
--- a/src/coordination/controller/reachability.cpp
+++ b/src/coordination/controller/reachability.cpp
@@ -25,7 +25,7 @@
     if (peers_.no_peers()) {
         return false;
     }
-    if (now - std::max(times_.started_at, context_.store.last_reached()) < kIsolatedAfter) {
+    if (now - std::max(times_.started_at, context_.store.last_served_at()) < kIsolatedAfter) {
         return false;
     }
     const auto& monitors = peers_.monitors();
@@ -36,7 +36,7 @@
 
 bool Reachability::store_refuses_only_us(Ms now) const {
     if (context_.store.consecutive_failures() < kFailuresToSuspectStore ||
-        now - context_.store.last_reached() < kStoreQuietAfter) {
+        now - context_.store.last_served_at() < kStoreQuietAfter) {
         return false;
     }
     const auto& monitors = peers_.monitors();
--- a/src/coordination/controller/user_requests.cpp
+++ b/src/coordination/controller/user_requests.cpp
@@ -164,7 +164,7 @@
         respond_with_failure(job.request, {http_status::kServiceUnavailable, kStoreUnavailable});
         return;
     }
-    context_.replica.remember_ended(job.job_id, *ended);
+    context_.replica.cache_finished_job(job.job_id, *ended);
     callback(now, LookupResult::found);
 }
 
@@ -193,7 +193,7 @@
         return;
     }
     Json record = encode_job({build_spec(submission), false}, context_.names);
-    if (record.dump().size() > context_.store.limits().value_bytes()) {
+    if (record.dump().size() > context_.store.limits().max_value_bytes()) {
         reject_permanently(now, job, "its description is too large to be stored");
         return;
     }
@@ -257,7 +257,7 @@
     }
     // A placement record must fit into one value of the store even if each of its tasks runs on a
     // different machine.
-    std::size_t tasks_per_record = context_.store.limits().value_bytes() / kTaskRecordBytes;
+    std::size_t tasks_per_record = context_.store.limits().max_value_bytes() / kTaskRecordBytes;
     spec.tasks_per_record = static_cast<std::uint32_t>(
         std::clamp(tasks_per_record, kMinTasksPerRecord, kMaxTasksPerRecord));
     return spec;
@@ -333,7 +333,7 @@
     JobRecord record = stored_job.record;
     record.cancelled = true;
     Json value = encode_job(record, context_.names);
-    if (value.dump().size() > context_.store.limits().value_bytes()) {
+    if (value.dump().size() > context_.store.limits().max_value_bytes()) {
         value = encode_cancelled_job(record.spec, context_.names);
     }
     Transaction transaction;
--- a/src/coordination/leader/job_completion.cpp
+++ b/src/coordination/leader/job_completion.cpp
@@ -82,7 +82,7 @@
         bool cancelled = ending.end == JobEnd::cancelled;
         spdlog::info("job {} ended: {}", ending.name,
                      cancelled ? "cancelled, no task is left on a machine" : "all tasks are done");
-        context_.controller.replica.remember_ended(
+        context_.controller.replica.cache_finished_job(
             ending.name, {cancelled, job_exists ? cluster.jobs[ending.job_id].spec.tasks : 0});
         if (job_exists) {
             cluster.remove_job(ending.job_id);
--- a/src/coordination/store/effective_store_limits.hpp
+++ b/src/coordination/store/effective_store_limits.hpp
@@ -25,12 +25,12 @@
         : current_(current), next_(next.value_or(current)) {}
 
     // The maximum size of a value to write, in bytes.
-    std::size_t value_bytes() const {
+    std::size_t max_value_bytes() const {
         return kilobytes(std::min(current_.value_kb, next_.value_kb));
     }
     // The maximum size of a value that the store accepts until the next limits are in force, in
     // bytes.
-    std::size_t current_value_bytes() const { return kilobytes(current_.value_kb); }
+    std::size_t max_current_value_bytes() const { return kilobytes(current_.value_kb); }
     // The maximum number of operations in one transaction.
     std::uint32_t transaction_operations() const {
         return std::min(current_.transaction_operations, next_.transaction_operations);
--- a/src/coordination/store/store_client.hpp
+++ b/src/coordination/store/store_client.hpp
@@ -69,7 +69,7 @@
 
     // The time of the last response that shows the store to be available, which excludes
     // unavailable and rate_limited; -1 if there was none.
-    Ms last_reached() const { return last_served_at_; }
+    Ms last_served_at() const { return last_served_at_; }
     // The highest revision in any response so far. No information that this process has given to a
     // user is newer.
     std::uint64_t seen_revision() const { return seen_revision_; }
--- a/src/coordination/store/store_replica.cpp
+++ b/src/coordination/store/store_replica.cpp
@@ -163,7 +163,7 @@
     if (!record) {
         return false;
     }
-    remember_ended(row.key.substr(keys::kFinishedJobs.size()), *record);
+    cache_finished_job(row.key.substr(keys::kFinishedJobs.size()), *record);
     return true;
 }
 
@@ -314,7 +314,7 @@
     return entry->second;
 }
 
-void StoreReplica::remember_ended(const std::string& job_id, const FinishedJobRecord& record) {
+void StoreReplica::cache_finished_job(const std::string& job_id, const FinishedJobRecord& record) {
     if (!finished_jobs_.emplace(job_id, record).second) {
         return;  // the record of a finished job never changes
     }
--- a/src/coordination/store/store_replica.hpp
+++ b/src/coordination/store/store_replica.hpp
@@ -49,7 +49,7 @@
     // The record of a finished job, if it is in memory. Only the most recent ones are.
     std::optional<FinishedJobRecord> ended(const std::string& job_id) const;
     // Keeps the record of a finished job in memory.
-    void remember_ended(const std::string& job_id, const FinishedJobRecord& record);
+    void cache_finished_job(const std::string& job_id, const FinishedJobRecord& record);
 
     // The numbers of done and running tasks of a job.
     struct Counts {
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -13,7 +13,7 @@
 #include <thread>
 
 #include "loopback/platform_documents.hpp"
-#include "loopback/stand_ins.hpp"
+#include "loopback/stub_services.hpp"
 #include "protocol/messagepack_codec.hpp"
 #include "transport/http_client.hpp"
 #include "transport/http_server.hpp"
--- a/tests/measure/decision_digest.cpp
+++ b/tests/measure/decision_digest.cpp
@@ -10,7 +10,7 @@
 #include <iostream>
 #include <type_traits>
 
-#include "standin/zone_days.hpp"
+#include "standin/zone_loss_scenarios.hpp"
 
 namespace walkford::standin {
 namespace {
@@ -100,7 +100,7 @@
     Options options;
     options.seed = seed;
     options.duration = 120000;
-    options.calm = 120000;
+    options.recovery_period = 120000;
     options.services = 4;
     return options;
 }
@@ -108,7 +108,7 @@
 Options rollout(std::uint64_t seed) {
     Options options = all_faults(seed);
     options.rollout_at = 30000;
-    options.limits_fall_at = 60000;
+    options.limits_lowered_at = 60000;
     return options;
 }
 
@@ -118,7 +118,7 @@
     options.controllers = 5;
     options.jobs = 300;
     options.services = 10;
-    options.cloud_room = 60;
+    options.cloud_machines_per_option = 60;
     options.duration = 150000;
     return options;
 }
@@ -126,8 +126,8 @@
 Options gap(std::uint64_t seed) {
     Options options;
     options.seed = seed;
-    options.gap_at = 50000;
-    options.gap_restarts = seed % 2 == 0;
+    options.cancellation_gap_at = 50000;
+    options.gap_restarts_followers = seed % 2 == 0;
     return options;
 }
 
@@ -135,7 +135,7 @@
     Options options;
     options.seed = seed;
     options.outage_at = 50000;
-    options.outage_for = 40000;
+    options.outage_duration = 40000;
     return options;
 }
 
--- a/tests/measure/zone_failover_measure.cpp
+++ b/tests/measure/zone_failover_measure.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <iostream>
 
-#include "standin/zone_days.hpp"
+#include "standin/zone_loss_scenarios.hpp"
 
 namespace walkford::standin {
 namespace {
@@ -20,7 +20,7 @@
 std::size_t count_restarts(const World& world) {
     std::map<std::pair<std::string, std::uint32_t>, std::size_t> starts;
     for (const TaskEvent& event : world.history) {
-        starts[{event.job, event.task}] += event.what == TaskEvent::What::began;
+        starts[{event.job, event.task}] += event.what == TaskEvent::EventType::began;
     }
     std::size_t count = 0;
     for (const auto& [task, times] : starts) {
@@ -41,20 +41,20 @@
     std::uint64_t seed = options.seed;
     World world(std::move(options));
     world.run();
-    for (const auto& [job_class, times] : started_again(world, kLossAt, "a")) {
+    for (const auto& [job_class, times] : restart_times_by_class(world, kLossAt, "a")) {
         for (Ms at : times) {
             tables.moved << day << ',' << variant << ',' << seed << ',' << job_class << ','
                          << seconds(at - kLossAt) << '\n';
         }
     }
     for (const FetchEvent& fetch : world.fetches) {
-        if (fetch.zone == "a" && fetch.at > kLossAt + kLossFor) {
+        if (fetch.zone == "a" && fetch.at > kLossAt + kLossDuration) {
             tables.fetched << day << ',' << variant << ',' << seed << ','
-                           << seconds(fetch.at - kLossAt - kLossFor) << ',' << fetch.in_zone << ','
-                           << fetch.on_machine << '\n';
+                           << seconds(fetch.at - kLossAt - kLossDuration) << ',' << fetch.in_zone
+                           << ',' << fetch.on_machine << '\n';
         }
     }
-    auto [in_zone, on_machine] = most_fetched(world);
+    auto [in_zone, on_machine] = max_concurrent_fetches(world);
     tables.days << day << ',' << variant << ',' << seed << ',' << world.jobs_done << ','
                 << count_restarts(world) << ',' << in_zone << ',' << on_machine << ','
                 << world.violations.size() << '\n';
--- a/tests/standin/fault_meetings.cpp
+++ b/tests/standin/combined_faults.cpp
@@ -181,7 +181,7 @@
         }
     }
     for (const std::string& name : lost) {
-        w.zone_bound_losses += w.runs_zone_bound_task(name);
+        w.zone_bound_machines_lost += w.runs_zone_bound_task(name);
         w.kill_machine(name);
     }
     if (w.chance(0.3)) {
--- a/tests/standin/controllers.cpp
+++ b/tests/standin/controllers.cpp
@@ -1,4 +1,4 @@
-// Controllers of the simulated world: their event loops, and what becomes of what they send.
+// Controllers of the simulation: their event loops and the delivery of their outputs.
 #include <algorithm>
 
 #include "standin/entities.hpp"
@@ -7,102 +7,103 @@
 namespace walkford::standin {
 
 void World::start_controller(std::size_t i) {
-    Host& h = *hosts_[i];
-    ++h.life;
-    PlatformSettings p = platform_settings_;
-    p.controller_name = "n" + std::to_string(i);
-    p.feature_level = feature_level(i);
-    p.zone = zone_of_controller(i);
-    if (o_.told_quota_cpus > 0) {
-        p.teams.front().quota.cpus = o_.told_quota_cpus;
+    Host& host = *hosts_[i];
+    ++host.process_number;
+    PlatformSettings settings = platform_settings_;
+    settings.controller_name = "n" + std::to_string(i);
+    settings.feature_level = feature_level(i);
+    settings.zone = zone_of_controller(i);
+    if (options_.configured_quota_cpus > 0) {
+        settings.teams.front().quota.cpus = options_.configured_quota_cpus;
     }
-    p.incarnation = p.controller_name + "-" + std::to_string(h.life);
-    for (std::size_t k = 0; k < o_.controllers; ++k) {
+    settings.incarnation = settings.controller_name + "-" + std::to_string(host.process_number);
+    for (std::size_t k = 0; k < options_.controllers; ++k) {
         if (k != i) {
-            p.peers.push_back({"n" + std::to_string(k), "", zone_of_controller(k)});
+            settings.peers.push_back({"n" + std::to_string(k), "", zone_of_controller(k)});
         }
     }
-    h.rate = 1.0 + static_cast<double>(pick(-5, 5)) / 10000.0;
-    h.offset = pick(1000, 100000000);
-    h.wake = -1;
-    h.led = false;
-    h.controller = std::make_unique<Controller>(p, operator_settings_, rng_());
-    feed(i, TickInput{});
+    host.rate = 1.0 + static_cast<double>(random_integer(-5, 5)) / 10000.0;
+    host.offset = random_integer(1000, 100000000);
+    host.wake = -1;
+    host.was_leading = false;
+    host.controller = std::make_unique<Controller>(settings, operator_settings_, rng_());
+    enqueue_input(i, TickInput{});
 }
 
 void World::crash_controller(std::size_t i) {
-    Host& h = *hosts_[i];
-    h.controller.reset();
-    ++h.life;
-    h.users.clear();
-    h.heartbeats.clear();
-    h.received.clear();
+    Host& host = *hosts_[i];
+    host.controller.reset();
+    ++host.process_number;
+    host.users.clear();
+    host.heartbeats.clear();
+    host.received.clear();
 }
 
-// Like the real event loop: what arrives while a turn waits for the processor is taken in together.
-void World::feed(std::size_t i, const Input& input) {
-    Host& h = *hosts_[i];
-    if (!h.controller) {
+// Like the real event loop, handles all inputs that arrive before an iteration starts as one batch.
+void World::enqueue_input(std::size_t i, const Input& input) {
+    Host& host = *hosts_[i];
+    if (!host.controller) {
         return;
     }
-    h.received.push_back(input);
-    if (h.received.size() > 1) {
-        return;  // its turn is planned
+    host.received.push_back(input);
+    if (host.received.size() > 1) {
+        return;  // an iteration is already scheduled
     }
-    at(now_ + pick(0, kLongestTurn), [this, i, life = h.life] {
-        if (hosts_[i]->life == life) {
-            take_turn(i);
-        }
-    });
+    schedule(now_ + random_integer(0, kMaxIterationDelay),
+             [this, i, process_number = host.process_number] {
+                 if (hosts_[i]->process_number == process_number) {
+                     run_iteration(i);
+                 }
+             });
 }
 
-void World::take_turn(std::size_t i) {
-    Host& h = *hosts_[i];
-    if (now_ < h.frozen_until) {
-        at(h.frozen_until, [this, i, life = h.life] {
-            if (hosts_[i]->life == life) {
-                take_turn(i);
+void World::run_iteration(std::size_t i) {
+    Host& host = *hosts_[i];
+    if (now_ < host.frozen_until) {
+        schedule(host.frozen_until, [this, i, process_number = host.process_number] {
+            if (hosts_[i]->process_number == process_number) {
+                run_iteration(i);
             }
         });
         return;
     }
-    std::vector<Input> inputs = std::move(h.received);
-    h.received.clear();
-    largest_turn = std::max(largest_turn, inputs.size());
-    Ms clock = h.offset + static_cast<Ms>(static_cast<double>(now_) * h.rate);
-    Outputs out = h.controller->step(clock, inputs);
-    if (o_.on_outputs) {
-        o_.on_outputs(now_, i, out);
+    std::vector<Input> inputs = std::move(host.received);
+    host.received.clear();
+    largest_input_batch = std::max(largest_input_batch, inputs.size());
+    Ms clock = host.offset + static_cast<Ms>(static_cast<double>(now_) * host.rate);
+    Outputs out = host.controller->step(clock, inputs);
+    if (options_.on_outputs) {
+        options_.on_outputs(now_, i, out);
     }
-    if (h.controller->leading() != h.led) {
-        h.led = h.controller->leading();
-        elections += h.led;
-        if (h.led) {
+    if (host.controller->leading() != host.was_leading) {
+        host.was_leading = host.controller->leading();
+        elections += host.was_leading;
+        if (host.was_leading) {
             deliver_replayed_reports();
         }
     }
-    for (Output& o : out) {
-        carry_out(i, o);
+    for (Output& output : out) {
+        deliver_output(i, output);
     }
 }
 
-void World::carry_out(std::size_t i, Output& output) {
+void World::deliver_output(std::size_t i, Output& output) {
     std::visit([this, i](auto& message) { send(i, message); }, output);
 }
 
 std::function<void(const Input&)> World::reply_to(std::size_t i) {
-    return [this, i, life = hosts_[i]->life](const Input& reply) {
-        if (hosts_[i]->life == life) {
-            feed(i, reply);
+    return [this, i, process_number = hosts_[i]->process_number](const Input& reply) {
+        if (hosts_[i]->process_number == process_number) {
+            enqueue_input(i, reply);
         }
     };
 }
 
 namespace {
-// Hands an answer to whoever asked; one who has gone is not there any more.
+// Passes a response to the pending request. Does nothing if the request is no longer pending.
 template <typename Answer>
-void answer_waiting(std::map<RequestId, std::function<void(Answer)>>& waiting,
-                    const Answer& answer) {
+void answer_pending_request(std::map<RequestId, std::function<void(Answer)>>& waiting,
+                            const Answer& answer) {
     auto it = waiting.find(answer.request);
     if (it == waiting.end()) {
         return;
@@ -114,22 +115,22 @@
 }  // namespace
 
 void World::send(std::size_t i, const UserResponse& answer) {
-    answer_waiting(hosts_[i]->users, answer);
+    answer_pending_request(hosts_[i]->users, answer);
 }
 
 void World::send(std::size_t i, const HeartbeatResponse& answer) {
     relayed += answer.code == 200 && !hosts_[i]->controller->leading();
-    answer_waiting(hosts_[i]->heartbeats, answer);
+    answer_pending_request(hosts_[i]->heartbeats, answer);
 }
 
-void World::watch_state(const std::string& controller, const StoreRequest& call, Ms until,
-                        const std::function<void(StoreResponse)>& respond) {
-    constexpr Ms kLookAgain = 25;
+void World::wait_for_store_changes(const std::string& controller, const StoreRequest& call,
+                                   Ms until, const std::function<void(StoreResponse)>& respond) {
+    constexpr Ms kPollInterval = 25;
     StoreResponse reply = state_->execute(now_, controller, call);
     bool nothing_yet = reply.status == StoreStatus::unavailable || reply.rows.empty();
     if (nothing_yet && now_ < until) {
-        at(now_ + kLookAgain, [this, controller, call, until, respond] {
-            watch_state(controller, call, until, respond);
+        schedule(now_ + kPollInterval, [this, controller, call, until, respond] {
+            wait_for_store_changes(controller, call, until, respond);
         });
         return;
     }
@@ -137,9 +138,9 @@
 }
 
 void World::send(std::size_t i, const StoreRequest& sent) {
-    std::string me = "n" + std::to_string(i);
+    std::string sender = "n" + std::to_string(i);
     auto back = reply_to(i);
-    if (o_.hide_relays) {
+    if (options_.hide_relay_records) {
         back = [back](const Input& input) {
             auto reply = std::get<StoreResponse>(input);
             std::erase_if(reply.rows, [](const StoreEntry& row) {
@@ -148,59 +149,61 @@
             back(reply);
         };
     }
-    StoreRequest c = sent;
-    if (o_.strip_fence) {
-        c.transaction.comparisons.clear();
+    StoreRequest request = sent;
+    if (options_.drop_transaction_conditions) {
+        request.transaction.comparisons.clear();
     }
     StoreResponse none;
-    none.call = c.call;
-    bool writes = c.operation == StoreOperation::transaction && !c.transaction.writes.empty();
+    none.call = request.call;
+    bool writes =
+        request.operation == StoreOperation::transaction && !request.transaction.writes.empty();
     if (writes && now_ < active_.late_writes && chance(0.4)) {
-        at(now_ + pick(2000, 12000), [this, me, c] {
-            written_late += state_->execute(now_, me, c).status == StoreStatus::ok;
+        schedule(now_ + random_integer(2000, 12000), [this, sender, request] {
+            writes_applied_late += state_->execute(now_, sender, request).status == StoreStatus::ok;
         });
-        at(now_ + kCallTimeout, [back, none] { back(none); });
+        schedule(now_ + kCallTimeout, [back, none] { back(none); });
         return;
     }
     if (writes && now_ < active_.lost_answers && chance(0.4)) {
-        at(now_ + pick(1, 8), [this, me, c] {
-            answers_lost += state_->execute(now_, me, c).status == StoreStatus::ok;
+        schedule(now_ + random_integer(1, 8), [this, sender, request] {
+            write_replies_lost += state_->execute(now_, sender, request).status == StoreStatus::ok;
         });
-        at(now_ + kCallTimeout, [back, none] { back(none); });
+        schedule(now_ + kCallTimeout, [back, none] { back(none); });
         return;
     }
-    bool watch = c.operation == StoreOperation::changes && c.wait_ms > 0;
+    bool watch = request.operation == StoreOperation::changes && request.wait_ms > 0;
     call<StoreResponse>(
-        me, "state", watch ? c.wait_ms + 3000 : kCallTimeout, none,
-        [this, me, c, watch](const std::function<void(StoreResponse)>& respond) {
+        sender, "state", watch ? request.wait_ms + 3000 : kCallTimeout, none,
+        [this, sender, request, watch](const std::function<void(StoreResponse)>& respond) {
             if (watch) {
-                watch_state(me, c, now_ + c.wait_ms, respond);
+                wait_for_store_changes(sender, request, now_ + request.wait_ms, respond);
             } else {
-                respond(state_->execute(now_, me, c));
+                respond(state_->execute(now_, sender, request));
             }
         },
         back);
-    if (writes && o_.faults && chance(0.03)) {
-        // A late copy of the transaction.
-        at(now_ + pick(50, 20000), [this, me, c] { state_->execute(now_, me, c); });
+    if (writes && options_.faults && chance(0.03)) {
+        // Executes the transaction a second time, late.
+        schedule(now_ + random_integer(50, 20000),
+                 [this, sender, request] { state_->execute(now_, sender, request); });
     }
 }
 
-void World::send(std::size_t i, const CloudRequest& c) {
+void World::send(std::size_t i, const CloudRequest& request) {
     CloudResponse none;
-    none.call = c.call;
+    none.call = request.call;
     call<CloudResponse>(
         "n" + std::to_string(i), "cloud", 3000, none,
-        [this, c, i](const std::function<void(CloudResponse)>& respond) {
+        [this, request, i](const std::function<void(CloudResponse)>& respond) {
             CloudResponse reply;
-            reply.call = c.call;
+            reply.call = request.call;
             reply.status = CloudCallStatus::ok;
             if (now_ < cloud_->out_until) {
                 reply.status = CloudCallStatus::unavailable;
                 respond(reply);
                 return;
             }
-            switch (c.operation) {
+            switch (request.operation) {
                 case CloudOperation::list_machine_types:
                     if (!hosts_[i]->controller) {
                         return;
@@ -208,15 +211,15 @@
                     list_machine_types(hosts_[i]->controller->names(), reply);
                     break;
                 case CloudOperation::scale_out:
-                    request_machines(c, reply);
+                    request_machines(request, reply);
                     break;
                 case CloudOperation::scale_in:
-                    for (const std::string& name : c.names) {
+                    for (const std::string& name : request.names) {
                         kill_machine(name);
                     }
                     break;
                 case CloudOperation::list:
-                    list_machines(c.after, reply);
+                    list_machines(request.after, reply);
                     break;
             }
             respond(reply);
@@ -226,49 +229,51 @@
 
 void World::list_machine_types(Names& names, CloudResponse& reply) const {
     for (const MachineType& machine_type : machine_types_) {
-        MachineType mine = machine_type;
-        mine.id = names.machine_types.intern(machine_type_names_[machine_type.id]);
-        mine.zones.clear();
+        MachineType interned = machine_type;
+        interned.id = names.machine_types.intern(machine_type_names_[machine_type.id]);
+        interned.zones.clear();
         for (const std::string& zone : zones_) {
-            mine.zones.push_back(names.zones.intern(zone));
+            interned.zones.push_back(names.zones.intern(zone));
         }
-        reply.machine_types.push_back(mine);
+        reply.machine_types.push_back(interned);
     }
 }
 
-void World::request_machines(const CloudRequest& c, CloudResponse& reply) {
-    if (auto known = cloud_->scale_outs.find(c.request_name); known != cloud_->scale_outs.end()) {
+void World::request_machines(const CloudRequest& request, CloudResponse& reply) {
+    if (auto known = cloud_->scale_outs.find(request.request_name);
+        known != cloud_->scale_outs.end()) {
         reply.names = known->second;
         return;
     }
-    Id machine_type = c.machine_type == "small" ? 0 : 1;
+    Id machine_type = request.machine_type == "small" ? 0 : 1;
     auto held = std::count_if(
         cloud_->machines.begin(), cloud_->machines.end(), [&](const Cloud::ScaledOut& machine) {
             return machine.terminated < 0 && machine.machine_type == machine_type &&
-                   machine.zone == c.zone && machine.spot == c.spot;
+                   machine.zone == request.zone && machine.spot == request.spot;
         });
     int room = cloud_->room_per_option - static_cast<int>(held);
-    Ms dark_until = zone_dark_until(c.zone);
-    bool refused = dark_until >= 0 && !lost_zones_.at(c.zone).scales_out;
+    Ms unreachable_until = zone_unreachable_until(request.zone);
+    bool refused = unreachable_until >= 0 && !lost_zones_.at(request.zone).scales_out;
     if (room <= 0 || refused) {
         reply.status = CloudCallStatus::no_capacity;
         return;
     }
-    for (int n = 0; n < std::min<int>(room, static_cast<int>(c.count)); ++n) {
+    for (int n = 0; n < std::min<int>(room, static_cast<int>(request.count)); ++n) {
         std::string name = "host-" + std::to_string(100000 + next_machine_++);
         bool never = chance(0.05);
-        Ms boot = never ? 10000000 : pick(1500, 9000);
+        Ms boot = never ? 10000000 : random_integer(1500, 9000);
         if (now_ < active_.fast_machines) {
-            boot = pick(100, 2000);
-            ++started_fast;
+            boot = random_integer(100, 2000);
+            ++fast_boots;
         }
-        if (dark_until >= 0) {
-            boot += dark_until - now_;
+        if (unreachable_until >= 0) {
+            boot += unreachable_until - now_;
         }
-        scale_out_requests.emplace_back(now_, c.zone);
-        cloud_->machines.push_back({name, c.zone, machine_type, c.spot, now_, now_ + boot, -1});
+        scale_out_requests.emplace_back(now_, request.zone);
+        cloud_->machines.push_back(
+            {name, request.zone, machine_type, request.spot, now_, now_ + boot, -1});
         reply.names.push_back(name);
-        at(now_ + boot, [this, name, machine_type, zone = c.zone, spot = c.spot] {
+        schedule(now_ + boot, [this, name, machine_type, zone = request.zone, spot = request.spot] {
             for (const auto& machine : cloud_->machines) {
                 if (machine.name == name && machine.terminated < 0) {
                     add_machine(name, machine_type, zone, spot, now_);
@@ -276,13 +281,13 @@
             }
         });
     }
-    cloud_->scale_outs[c.request_name] = reply.names;
+    cloud_->scale_outs[request.request_name] = reply.names;
 }
 
-// The list as it was some seconds ago, in pages.
+// Returns a page of the machine list as it was 0.5 to 4 seconds ago.
 void World::list_machines(const std::string& after, CloudResponse& reply) {
     constexpr std::size_t kPageSize = 5;
-    Ms then = now_ - pick(500, 4000);
+    Ms then = now_ - random_integer(500, 4000);
     for (const auto& machine : cloud_->machines) {
         bool gone = machine.terminated >= 0 && machine.terminated <= then;
         if (machine.created_version > then || gone || machine.name <= after) {
@@ -305,48 +310,49 @@
     }
 }
 
-void World::send(std::size_t i, const WorkerRequest& c) {
-    std::string me = "n" + std::to_string(i);
+void World::send(std::size_t i, const WorkerRequest& request) {
+    std::string sender = "n" + std::to_string(i);
     auto back = reply_to(i);
     WorkerResponse none;
-    none.call = c.call;
-    if (!c.commands.empty() && now_ < active_.late_commands && chance(0.5)) {
-        at(now_ + pick(2000, 16000), [this, c] {
-            if (auto reply = obey(c)) {
-                commands_late += reply->status == WorkerCallStatus::ok;
+    none.call = request.call;
+    if (!request.commands.empty() && now_ < active_.late_commands && chance(0.5)) {
+        schedule(now_ + random_integer(2000, 16000), [this, request] {
+            if (auto reply = execute_worker_request(request)) {
+                commands_applied_late += reply->status == WorkerCallStatus::ok;
             }
         });
-        at(now_ + 3000, [back, none] { back(none); });
+        schedule(now_ + 3000, [back, none] { back(none); });
         return;
     }
     call<WorkerResponse>(
-        me, c.address, 3000, none,
-        [this, c](const std::function<void(WorkerResponse)>& respond) {
-            if (auto reply = obey(c)) {
+        sender, request.address, 3000, none,
+        [this, request](const std::function<void(WorkerResponse)>& respond) {
+            if (auto reply = execute_worker_request(request)) {
                 respond(*reply);
             }
         },
         back);
 }
 
-// What a worker does with a direct command; nothing if there is no such machine.
-std::optional<WorkerResponse> World::obey(const WorkerRequest& c) {
-    auto it = workers_.find(c.address);
+// Executes a direct command on the worker. Returns nothing if the machine does not exist.
+std::optional<WorkerResponse> World::execute_worker_request(const WorkerRequest& request) {
+    auto it = workers_.find(request.address);
     if (it == workers_.end()) {
         return std::nullopt;
     }
     Worker& worker = *it->second;
     WorkerResponse reply;
-    reply.call = c.call;
-    bool stale = c.fencing_token < worker.fencing_token || c.incarnation != worker.incarnation;
-    if (c.fencing_token > worker.fencing_token) {
-        worker.fencing_token = c.fencing_token;
-        changed(worker);
+    reply.call = request.call;
+    bool stale =
+        request.fencing_token < worker.fencing_token || request.incarnation != worker.incarnation;
+    if (request.fencing_token > worker.fencing_token) {
+        worker.fencing_token = request.fencing_token;
+        hasten_heartbeat(worker);
     }
     reply.status = stale ? WorkerCallStatus::conflict : WorkerCallStatus::ok;
     if (!stale) {
-        for (const WorkerCommand& o : c.commands) {
-            execute(worker, o);
+        for (const WorkerCommand& command : request.commands) {
+            execute(worker, command);
         }
     }
     reply.worker_status = worker_status(worker);
@@ -354,32 +360,32 @@
 }
 
 void World::send(std::size_t i, const OutgoingPeerHeartbeat& message) {
-    // Peers are all but oneself, in order.
+    // A controller's peer list holds all other controllers in order.
     std::size_t to = message.peer < i ? message.peer : message.peer + 1;
     std::size_t index = i < to ? i : i - 1;
-    Ms arrives = path("n" + std::to_string(i), "n" + std::to_string(to));
+    Ms arrives = arrival_time("n" + std::to_string(i), "n" + std::to_string(to));
     if (arrives < 0) {
         return;
     }
-    at(arrives, [this, to, index, peer_heartbeat = message.peer_heartbeat] {
-        feed(to, IncomingPeerHeartbeat{index, peer_heartbeat});
+    schedule(arrives, [this, to, index, peer_heartbeat = message.peer_heartbeat] {
+        enqueue_input(to, IncomingPeerHeartbeat{index, peer_heartbeat});
     });
 }
 
 void World::send(std::size_t i, const WakeAt& wake) {
-    Host& h = *hosts_[i];
-    Ms clock = h.offset + static_cast<Ms>(static_cast<double>(now_) * h.rate);
+    Host& host = *hosts_[i];
+    Ms clock = host.offset + static_cast<Ms>(static_cast<double>(now_) * host.rate);
     Ms when = now_ + std::max<Ms>(1, wake.at - clock);
-    if (h.wake > now_ && h.wake <= when) {
+    if (host.wake > now_ && host.wake <= when) {
         return;
     }
-    h.wake = when;
-    at(when, [this, i, life = h.life] {
-        if (hosts_[i]->life != life) {
+    host.wake = when;
+    schedule(when, [this, i, process_number = host.process_number] {
+        if (hosts_[i]->process_number != process_number) {
             return;
         }
         hosts_[i]->wake = -1;
-        feed(i, TickInput{});
+        enqueue_input(i, TickInput{});
     });
 }
 
--- a/tests/standin/faults.cpp
+++ b/tests/standin/faults.cpp
@@ -1,4 +1,4 @@
-// Fault injection: what each fault does, and when it is over.
+// Implements faults of controllers, machines and the network.
 #include "standin/faults.hpp"
 
 #include <algorithm>
@@ -95,43 +95,44 @@
 }
 
 void FaultInjector::inject(const std::vector<Fault>& allowed) {
-    World& w = world_;
-    auto controller = static_cast<std::size_t>(w.pick(0, static_cast<int>(w.o_.controllers) - 1));
-    if (w.chance(0.5)) {
-        controller = w.leader_or(controller);
+    World& world = world_;
+    auto controller = static_cast<std::size_t>(
+        world.random_integer(0, static_cast<int>(world.options_.controllers) - 1));
+    if (world.chance(0.5)) {
+        controller = world.leader_or(controller);
     }
-    auto fault = static_cast<std::size_t>(w.pick(0, kFaults - 1));
+    auto fault = static_cast<std::size_t>(world.random_integer(0, kFaults - 1));
     if (!allowed.empty()) {
-        fault = static_cast<std::size_t>(
-            allowed[static_cast<std::size_t>(w.pick(0, static_cast<int>(allowed.size()) - 1))]);
+        fault = static_cast<std::size_t>(allowed[static_cast<std::size_t>(
+            world.random_integer(0, static_cast<int>(allowed.size()) - 1))]);
     }
-    troubled_until(w.now_);
+    extend_fault_period(world.now_);
     (this->*handlers().at(fault))(controller);
 }
 
 void FaultInjector::restart_soon(std::size_t controller) {
     if (world_.chance(0.3)) {
-        world_.restart(controller, 50, 400);
+        world_.restart_controller(controller, 50, 400);
     } else {
-        world_.restart(controller, 2000, 6000);
+        world_.restart_controller(controller, 2000, 6000);
     }
 }
 
-void FaultInjector::troubled_until(Ms when) {
-    world_.well_since_ = std::max(world_.well_since_, when);
+void FaultInjector::extend_fault_period(Ms when) {
+    world_.faults_end_at_ = std::max(world_.faults_end_at_, when);
 }
 
-void FaultInjector::keep_up(Ms& until, Ms span, Ms aftermath) {
+void FaultInjector::extend_fault(Ms& until, Ms span, Ms aftermath) {
     until = std::max(until, world_.now_ + span);
-    troubled_until(until + aftermath);
+    extend_fault_period(until + aftermath);
 }
 
-std::string FaultInjector::some_machine() {
+std::string FaultInjector::random_machine() {
     if (world_.workers_.empty()) {
         return "";
     }
     auto it = world_.workers_.begin();
-    std::advance(it, world_.pick(0, static_cast<int>(world_.workers_.size()) - 1));
+    std::advance(it, world_.random_integer(0, static_cast<int>(world_.workers_.size()) - 1));
     return it->first;
 }
 
@@ -142,184 +143,186 @@
 void FaultInjector::controller_restarts(std::size_t controller) { restart_soon(controller); }
 
 void FaultInjector::all_controllers_restart(std::size_t /*controller*/) {
-    for (std::size_t k = 0; k < world_.o_.controllers; ++k) {
+    for (std::size_t k = 0; k < world_.options_.controllers; ++k) {
         restart_soon(k);
     }
 }
 
 void FaultInjector::controller_cut_from_state(std::size_t controller) {
-    Ms span = world_.pick(1000, 30000);
-    world_.cut(controller_name(controller), "state", span, world_.chance(0.5));
+    Ms span = world_.random_integer(1000, 30000);
+    world_.cut_link(controller_name(controller), "state", span, world_.chance(0.5));
 }
 
 void FaultInjector::controller_cut_from_all(std::size_t controller) {
-    Ms span = world_.pick(1000, 30000);
-    world_.cut(controller_name(controller), "*", span, world_.chance(0.5));
+    Ms span = world_.random_integer(1000, 30000);
+    world_.cut_link(controller_name(controller), "*", span, world_.chance(0.5));
 }
 
 void FaultInjector::state_outage(std::size_t /*controller*/) {
-    Ms span = world_.pick(1000, 25000);
+    Ms span = world_.random_integer(1000, 25000);
     world_.state_->begin_outage(world_.now_, span);
-    troubled_until(world_.now_ + span);
+    extend_fault_period(world_.now_ + span);
 }
 
 void FaultInjector::state_refuses_controller(std::size_t controller) {
-    Ms until = world_.now_ + world_.pick(2000, 20000);
+    Ms until = world_.now_ + world_.random_integer(2000, 20000);
     world_.state_->refuse(controller_name(controller), until);
-    troubled_until(until);
+    extend_fault_period(until);
 }
 
 void FaultInjector::cloud_outage(std::size_t /*controller*/) {
-    world_.cloud_->out_until = world_.now_ + world_.pick(2000, 20000);
-    troubled_until(world_.cloud_->out_until);
+    world_.cloud_->out_until = world_.now_ + world_.random_integer(2000, 20000);
+    extend_fault_period(world_.cloud_->out_until);
 }
 
 void FaultInjector::machine_dies(std::size_t /*controller*/) {
-    std::string machine = some_machine();
+    std::string machine = random_machine();
     if (!machine.empty()) {
         world_.kill_machine(machine);
     }
 }
 
 void FaultInjector::machine_cut_off(std::size_t /*controller*/) {
-    std::string machine = some_machine();
+    std::string machine = random_machine();
     if (!machine.empty()) {
-        Ms span = world_.pick(2000, 25000);
-        world_.cut(machine, "*", span, world_.chance(0.6));
+        Ms span = world_.random_integer(2000, 25000);
+        world_.cut_link(machine, "*", span, world_.chance(0.6));
     }
 }
 
 void FaultInjector::spot_notice(std::size_t /*controller*/) {
-    World& w = world_;
-    std::string machine = some_machine();
-    if (machine.empty() || !w.workers_.at(machine)->spot) {
+    World& world = world_;
+    std::string machine = random_machine();
+    if (machine.empty() || !world.workers_.at(machine)->spot) {
         return;
     }
-    Ms notice = w.pick(2000, 8000);
-    w.workers_.at(machine)->reclaim_at = w.now_ + notice;
-    w.changed(*w.workers_.at(machine));
-    w.at(w.now_ + notice, [&w, machine] { w.kill_machine(machine); });
+    Ms notice = world.random_integer(2000, 8000);
+    world.workers_.at(machine)->reclaim_at = world.now_ + notice;
+    world.hasten_heartbeat(*world.workers_.at(machine));
+    world.schedule(world.now_ + notice, [&world, machine] { world.kill_machine(machine); });
 }
 
 void FaultInjector::machines_cut_from_controller(std::size_t controller) {
     for (auto& [name, worker] : world_.workers_) {
         if (world_.chance(0.5)) {
-            Ms span = world_.pick(2000, 25000);
-            world_.cut(name, controller_name(controller), span, world_.chance(0.6));
+            Ms span = world_.random_integer(2000, 25000);
+            world_.cut_link(name, controller_name(controller), span, world_.chance(0.6));
         }
     }
 }
 
 void FaultInjector::two_controllers_cut(std::size_t controller) {
-    std::size_t other = (controller + 1) % world_.o_.controllers;
-    Ms span = world_.pick(2000, 30000);
-    world_.cut(controller_name(controller), controller_name(other), span, world_.chance(0.5));
+    std::size_t other = (controller + 1) % world_.options_.controllers;
+    Ms span = world_.random_integer(2000, 30000);
+    world_.cut_link(controller_name(controller), controller_name(other), span, world_.chance(0.5));
 }
 
-// Its reports arrive, answers and commands don't reach it; at times on and on.
+// The machine's heartbeats arrive, but no response or command reaches it; sometimes for the rest of
+// the run.
 void FaultInjector::machine_hears_nothing(std::size_t controller) {
-    World& w = world_;
-    std::string machine = some_machine();
+    World& world = world_;
+    std::string machine = random_machine();
     if (machine.empty()) {
         return;
     }
-    ++w.machines_deaf;
-    Ms span = w.chance(0.3) ? w.o_.duration : w.pick(3000, 40000);
-    w.cut("n*", machine, span, false, true);
-    if (w.chance(0.3)) {
-        restart_soon(controller);  // the next leader has never been seen by it
+    ++world.machines_not_receiving;
+    Ms span = world.chance(0.3) ? world.options_.duration : world.random_integer(3000, 40000);
+    world.cut_link("n*", machine, span, false, true);
+    if (world.chance(0.3)) {
+        restart_soon(controller);  // the machine has never received anything from the next leader
     }
 }
 
 void FaultInjector::controller_isolated(std::size_t controller) {
-    Ms span = world_.pick(4000, 40000);
+    Ms span = world_.random_integer(4000, 40000);
     std::string name = controller_name(controller);
-    world_.cut(name, "state", span, world_.chance(0.3));
-    world_.cut(name, "n*", span, world_.chance(0.3));
+    world_.cut_link(name, "state", span, world_.chance(0.3));
+    world_.cut_link(name, "n*", span, world_.chance(0.3));
 }
 
 void FaultInjector::machine_reboots(std::size_t /*controller*/) {
-    World& w = world_;
-    std::string machine = some_machine();
+    World& world = world_;
+    std::string machine = random_machine();
     if (machine.empty()) {
         return;
     }
-    w.at(w.now_ + w.pick(0, 400), [&w, machine] {
-        if (w.workers_.count(machine) > 0) {
-            w.reboot(machine);
+    world.schedule(world.now_ + world.random_integer(0, 400), [&world, machine] {
+        if (world.workers_.count(machine) > 0) {
+            world.reboot(machine);
         }
     });
 }
 
 void FaultInjector::quick_restarts(std::size_t /*controller*/) {
-    World& w = world_;
-    for (Ms when : {Ms{0}, w.pick(300, 5000)}) {
-        w.at(w.now_ + when, [&w] {
-            for (std::size_t k = 0; k < w.o_.controllers; ++k) {
-                if (!w.chance(0.3)) {
-                    w.restart(k, 20, 600);
+    World& world = world_;
+    for (Ms when : {Ms{0}, world.random_integer(300, 5000)}) {
+        world.schedule(world.now_ + when, [&world] {
+            for (std::size_t k = 0; k < world.options_.controllers; ++k) {
+                if (!world.chance(0.3)) {
+                    world.restart_controller(k, 20, 600);
                 }
             }
         });
     }
 }
 
-// Most machines at once, about as long as their lease.
+// Most machines hang at once for about the length of their lease.
 void FaultInjector::machines_hang(std::size_t /*controller*/) {
-    Ms span = static_cast<Ms>(kRealLease * 1000) + world_.pick(-4000, 12000);
+    Ms span = static_cast<Ms>(kRealLeaseSeconds * 1000) + world_.random_integer(-4000, 12000);
     for (auto& [name, worker] : world_.workers_) {
         if (world_.chance(0.7)) {
-            world_.cut(name, "*", span, true);
+            world_.cut_link(name, "*", span, true);
         }
     }
 }
 
-// Its machines and a controller still hear each other.
+// Partitions one controller and the machines of one zone from the rest; they still reach each
+// other.
 void FaultInjector::zone_cut_off(std::size_t controller) {
-    World& w = world_;
-    Ms span = w.pick(5000, 50000);
-    bool hold = w.chance(0.7);
-    std::string zone = w.zones_[static_cast<std::size_t>(w.pick(0, 1))];
+    World& world = world_;
+    Ms span = world.random_integer(5000, 50000);
+    bool hold = world.chance(0.7);
+    std::string zone = world.zones_[static_cast<std::size_t>(world.random_integer(0, 1))];
     std::string isolated = controller_name(controller);
-    for (std::size_t k = 0; k < w.o_.controllers; ++k) {
+    for (std::size_t k = 0; k < world.options_.controllers; ++k) {
         if (k == controller) {
             continue;
         }
         std::string other = controller_name(k);
-        w.cut(isolated, other, span, hold);
-        for (auto& [name, worker] : w.workers_) {
-            w.cut(worker->zone == zone ? other : isolated, name, span, hold);
+        world.cut_link(isolated, other, span, hold);
+        for (auto& [name, worker] : world.workers_) {
+            world.cut_link(worker->zone == zone ? other : isolated, name, span, hold);
         }
     }
-    w.cut(isolated, "state", span, hold);
-    w.cut(isolated, "cloud", span, hold);
+    world.cut_link(isolated, "state", span, hold);
+    world.cut_link(isolated, "cloud", span, hold);
 }
 
 void FaultInjector::zones_apart(std::size_t) {
-    World& w = world_;
-    Ms span = w.pick(5000, 60000);
-    bool hold = w.chance(0.5);
-    std::vector<std::pair<std::string, std::string>> hosts;  // name, zone
-    for (std::size_t k = 0; k < w.o_.controllers; ++k) {
-        hosts.emplace_back(controller_name(k), w.zone_of_controller(k));
+    World& world = world_;
+    Ms span = world.random_integer(5000, 60000);
+    bool hold = world.chance(0.5);
+    std::vector<std::pair<std::string, std::string>> hosts;  // name and zone
+    for (std::size_t k = 0; k < world.options_.controllers; ++k) {
+        hosts.emplace_back(controller_name(k), world.zone_of_controller(k));
     }
     std::size_t controllers = hosts.size();
-    for (const auto& [name, worker] : w.workers_) {
+    for (const auto& [name, worker] : world.workers_) {
         hosts.emplace_back(name, worker->zone);
     }
     for (std::size_t one = 0; one < controllers; ++one) {
         for (std::size_t other = one + 1; other < hosts.size(); ++other) {
             if (hosts[one].second != hosts[other].second) {
-                w.cut(hosts[one].first, hosts[other].first, span, hold);
+                world.cut_link(hosts[one].first, hosts[other].first, span, hold);
             }
         }
     }
 }
 
 void FaultInjector::controller_freezes(std::size_t controller) {
-    Ms until = world_.now_ + world_.pick(500, 35000);
+    Ms until = world_.now_ + world_.random_integer(500, 35000);
     world_.hosts_[controller]->frozen_until = until;
-    troubled_until(until);
+    extend_fault_period(until);
 }
 
 }  // namespace walkford::standin
--- a/tests/standin/faults.hpp
+++ b/tests/standin/faults.hpp
@@ -1,4 +1,4 @@
-// The faults that the simulated world can inject, by name.
+// Faults that can be injected into the simulation.
 #pragma once
 
 #include <array>
@@ -26,38 +26,38 @@
     machines_cut_from_controller,
     two_controllers_cut,
     machine_hears_nothing,
-    controller_isolated,  // from state service and peers, not from workers and users
+    controller_isolated,  // from the store and peers, but not from workers and users
     machine_reboots,
-    quick_restarts,  // several controllers, also in mid-election
+    quick_restarts,  // several controllers restart twice, possibly during an election
     machines_hang,
     zone_cut_off,
     controller_freezes,
-    late_writes,    // no answer, and carried out after newer ones
-    late_reports,   // copies, from seconds to well over a lease
-    machines_mute,  // reach no controller; direct commands reach them
+    late_writes,    // writes get no reply and are applied after newer ones
+    late_reports,   // duplicate heartbeats, delayed by seconds to well over a lease
+    machines_mute,  // heartbeats are dropped; direct commands arrive
     mass_cancellation,
     cancellation_at_end,
     leaders_end_in_turn,
     all_controllers_away,  // for longer than a lease
     isolated_leader_and_cancellations,
     odd_requests,
-    lost_answers,                // transactions carried out at once, their answers lost
-    close_looks,                 // questions and repeats at all nodes right after every answer
-    late_commands,               // direct commands carried out late, unanswered
-    reports_for_next_leader,     // copies kept until the next leader begins
-    cancellation_in_handover,    // in the seconds in which another controller takes over
-    limit_and_hanging_machines,  // cancelled work hangs, teams at their limit, the leader changes
-    fast_machines_slow_writes,   // new machines get work at once, and the leader ends
-    small_job_flood,             // one-task jobs four a second, a quarter cancelled
+    lost_answers,              // transactions are applied at once, but their replies are lost
+    close_looks,               // polls of all controllers and repeated requests after each response
+    late_commands,             // direct commands are executed late and get no reply
+    reports_for_next_leader,   // duplicate heartbeats delivered when the next leader starts
+    cancellation_in_handover,  // while another controller takes over
+    limit_and_hanging_machines,  // cancelled tasks hang, teams at quota, leader restarts
+    fast_machines_slow_writes,  // machines boot fast while writes are late, and the leader restarts
+    small_job_flood,            // four one-task jobs per second, a quarter of them cancelled
     zone_loses_machines,
-    zones_apart,  // neither machines nor controllers reach the other zone; all reach the state
+    zones_apart,  // no controller reaches the other zone; all reach the store
 };
 inline constexpr std::size_t kFaults = static_cast<std::size_t>(Fault::zones_apart) + 1;
 
-// The name as in the enumeration.
+// Returns the name of the enumerator.
 std::string_view name_of(Fault fault);
 
-// Until when the faults that last for a while are in force; -1: not.
+// End times of the faults that stay active for a while; -1 if never active.
 struct ActiveFaults {
     Ms late_writes = -1;
     Ms lost_answers = -1;
@@ -71,11 +71,12 @@
 
 class World;
 
-// Brings faults about in a world, one at a time.
+// Injects faults into a world, one per call.
 class FaultInjector {
   public:
     explicit FaultInjector(World& world) : world_(world) {}
-    // One of `allowed`, or any when that is empty; it hits the leader more often than others.
+    // Injects one of `allowed`, or any fault if `allowed` is empty. The leader is chosen more often
+    // than other controllers.
     void inject(const std::vector<Fault>& allowed);
 
   private:
@@ -122,11 +123,11 @@
     void zones_apart(std::size_t controller);
 
     void restart_soon(std::size_t controller);
-    // The world counts as troubled until then.
-    void troubled_until(Ms when);
-    // A fault that lasts: extends its end and the troubled time.
-    void keep_up(Ms& until, Ms span, Ms aftermath);
-    std::string some_machine();
+    // Extends the time during which a fault counts as present.
+    void extend_fault_period(Ms when);
+    // Extends the end of a lasting fault, and the time during which a fault counts as present.
+    void extend_fault(Ms& until, Ms span, Ms aftermath);
+    std::string random_machine();
     static std::string controller_name(std::size_t controller);
 
     World& world_;
--- a/tests/standin/key_value_store.hpp
+++ b/tests/standin/key_value_store.hpp
@@ -1,5 +1,5 @@
-// The simulated state service: a key-value store with revisions, leases and watches, as PROTOCOL
-// describes it.
+// Simulated store: a key-value store with revisions, leases and watches, as the protocol
+// documentation describes it.
 #pragma once
 
 #include <map>
@@ -14,23 +14,23 @@
 
 class KeyValueStore {
   public:
-    // Carries out a call of a controller, or refuses it with 503. A watch is answered with what has
-    // changed so far; waiting is up to the caller.
+    // Executes a call of a controller, or refuses it as unavailable. A watch returns the changes so
+    // far; the caller is responsible for waiting.
     StoreResponse execute(Ms now, const std::string& controller, const StoreRequest& call);
 
-    // Values that stand there from the beginning.
+    // Sets initial values.
     void store(const std::map<std::string, Json>& values);
-    // Every value that the key has had, and since when.
+    // Returns every value that the key has had, with the time at which it was set.
     std::vector<std::pair<Ms, Json>> history(const std::string& key) const;
 
-    // Refuses everybody for so long. Afterwards all leases have their full time again.
+    // Refuses all calls for `span`. When the outage ends, all leases have their full TTL again.
     void begin_outage(Ms now, Ms span);
-    // Refuses one controller until then; its leases run on.
+    // Refuses one controller until the given time; its leases are not extended.
     void refuse(const std::string& controller, Ms until) { refused_until_[controller] = until; }
     bool serves(const std::string& controller, Ms now) const;
     bool in_outage(Ms now) const { return now < out_until_; }
 
-    // Sizes as the compact JSON form has them, and changes a second.
+    // Sets the size and write rate limits. Sizes are measured on the compact JSON form.
     void set_limits(const StoreLimits& limits) { limits_ = limits; }
     int refused_for_size = 0;
     int refused_for_rate = 0;
@@ -45,7 +45,7 @@
         Ms ttl = 0;
         Ms until = 0;
     };
-    // Small pages, so that paging is exercised.
+    // Small, so that tests exercise paging.
     static constexpr std::size_t kPageSize = 7;
 
     void expire(Ms now);
--- a/tests/standin/machines.cpp
+++ b/tests/standin/machines.cpp
@@ -1,4 +1,4 @@
-// Machines of the simulated world: workers that report, run tasks and obey orders.
+// Machines of the simulation: workers that send heartbeats, execute commands and run tasks.
 #include <algorithm>
 
 #include "standin/entities.hpp"
@@ -8,24 +8,25 @@
 
 void World::add_machine(const std::string& name, Id machine_type, const std::string& zone,
                         bool spot, Ms up_at) {
-    auto w = std::make_unique<Worker>();
-    w->name = name;
-    w->machine_type = machine_type;
-    w->zone = zone;
-    w->spot = spot;
-    w->lease_from = up_at;
-    w->controller = static_cast<std::size_t>(pick(0, static_cast<int>(o_.controllers) - 1));
-    workers_[name] = std::move(w);
-    if (Ms dark_until = zone_dark_until(zone); dark_until >= 0) {
-        cut(name, "*", dark_until - now_, false);
+    auto worker = std::make_unique<Worker>();
+    worker->name = name;
+    worker->machine_type = machine_type;
+    worker->zone = zone;
+    worker->spot = spot;
+    worker->lease_from = up_at;
+    worker->controller =
+        static_cast<std::size_t>(random_integer(0, static_cast<int>(options_.controllers) - 1));
+    workers_[name] = std::move(worker);
+    if (Ms unreachable_until = zone_unreachable_until(zone); unreachable_until >= 0) {
+        cut_link(name, "*", unreachable_until - now_, false);
     }
     heartbeat(name);
 }
 
 void World::kill_machine(const std::string& name) {
-    for (auto& m : cloud_->machines) {
-        if (m.name == name && m.terminated < 0) {
-            m.terminated = now_;
+    for (auto& machine : cloud_->machines) {
+        if (machine.name == name && machine.terminated < 0) {
+            machine.terminated = now_;
         }
     }
     auto it = workers_.find(name);
@@ -34,36 +35,37 @@
     }
     auto tasks = std::move(it->second->tasks);
     workers_.erase(it);
-    for (auto& [key, r] : tasks) {
-        if (r.on) {
-            gang_lost(r.job, r.attempt);
+    for (auto& [key, running_task] : tasks) {
+        if (running_task.active) {
+            end_remaining_gang_members(running_task.job, running_task.attempt);
         }
     }
 }
 
-WorkerStatus World::worker_status(Worker& w) {
-    WorkerStatus r;
-    r.machine = w.name;
-    r.address = w.name;
-    r.machine_type = machine_type_names_[w.machine_type];
-    r.zone = w.zone;
-    r.spot = w.spot;
-    r.incarnation = w.incarnation;
-    r.sequence = ++w.sequence;
-    r.fencing_token = w.fencing_token;
-    if (w.reclaim_at >= 0) {
-        r.notice_s = static_cast<double>(std::max<Ms>(0, w.reclaim_at - now_)) / 1000.0;
-    }
-    for (auto& [key, t] : w.tasks) {
-        r.tasks.push_back({t.job, t.task, t.attempt, t.state, t.cause, t.progress_saved});
-    }
-    return r;
+WorkerStatus World::worker_status(Worker& worker) {
+    WorkerStatus status;
+    status.machine = worker.name;
+    status.address = worker.name;
+    status.machine_type = machine_type_names_[worker.machine_type];
+    status.zone = worker.zone;
+    status.spot = worker.spot;
+    status.incarnation = worker.incarnation;
+    status.sequence = ++worker.sequence;
+    status.fencing_token = worker.fencing_token;
+    if (worker.reclaim_at >= 0) {
+        status.notice_s = static_cast<double>(std::max<Ms>(0, worker.reclaim_at - now_)) / 1000.0;
+    }
+    for (auto& [key, task] : worker.tasks) {
+        status.tasks.push_back(
+            {task.job, task.task, task.attempt, task.state, task.cause, task.progress_saved});
+    }
+    return status;
 }
 
-void World::changed(Worker& w) {
-    Ms soon = std::max(now_, w.last_sent + 500);
-    w.next_heartbeat = std::min(w.next_heartbeat, soon);
-    at(soon, [this, name = w.name] { heartbeat(name); });
+void World::hasten_heartbeat(Worker& worker) {
+    Ms soon = std::max(now_, worker.last_sent + 500);
+    worker.next_heartbeat = std::min(worker.next_heartbeat, soon);
+    schedule(soon, [this, name = worker.name] { heartbeat(name); });
 }
 
 void World::deliver_heartbeat(std::size_t to, const WorkerStatus& status,
@@ -77,21 +79,21 @@
     }
     RequestId id = next_request_++;
     host.heartbeats[id] = std::move(respond);
-    feed(to, HeartbeatRequest{id, status});
+    enqueue_input(to, HeartbeatRequest{id, status});
 }
 
-// Copies arrive from seconds to well over a lease late, at any controller: perhaps at one that
-// never saw the heartbeat itself.
-void World::copy_heartbeat_sometimes(std::size_t controller, const WorkerStatus& status) {
-    if (o_.faults && now_ < o_.duration * 8 / 10 &&
+// Sometimes sends a duplicate of a heartbeat. It arrives from one second to well over a lease late,
+// at any controller, possibly one that did not receive the original.
+void World::maybe_duplicate_heartbeat(std::size_t controller, const WorkerStatus& status) {
+    if (options_.faults && now_ < options_.duration * 8 / 10 &&
         chance(now_ < active_.late_reports ? 0.4 : 0.04)) {
-        std::size_t copy_to =
-            chance(0.5) ? controller
-                        : static_cast<std::size_t>(pick(0, static_cast<int>(o_.controllers) - 1));
-        Ms late = pick(1000, 45000);
-        ++copies;
-        well_since_ = std::max(well_since_, now_ + late);
-        at(now_ + late, [this, status, copy_to] {
+        std::size_t copy_to = chance(0.5) ? controller
+                                          : static_cast<std::size_t>(random_integer(
+                                                0, static_cast<int>(options_.controllers) - 1));
+        Ms late = random_integer(1000, 45000);
+        ++duplicate_heartbeats;
+        faults_end_at_ = std::max(faults_end_at_, now_ + late);
+        schedule(now_ + late, [this, status, copy_to] {
             deliver_heartbeat(copy_to, status, [](const HeartbeatResponse&) {});
         });
     }
@@ -105,35 +107,36 @@
     if (it == workers_.end()) {
         return;
     }
-    Worker& w = *it->second;
-    if (w.in_flight || now_ < w.next_heartbeat) {
+    Worker& worker = *it->second;
+    if (worker.in_flight || now_ < worker.next_heartbeat) {
         return;
     }
-    w.in_flight = true;
-    w.last_sent = now_;
-    w.next_heartbeat = now_ + static_cast<Ms>(kReport * static_cast<double>(pick(750, 1250)));
-    WorkerStatus status = worker_status(w);
-    std::size_t controller = w.controller;
+    worker.in_flight = true;
+    worker.last_sent = now_;
+    worker.next_heartbeat =
+        now_ + static_cast<Ms>(kReportSeconds * static_cast<double>(random_integer(750, 1250)));
+    WorkerStatus status = worker_status(worker);
+    std::size_t controller = worker.controller;
     HeartbeatResponse none;
     none.code = 0;
-    copy_heartbeat_sometimes(controller, status);
+    maybe_duplicate_heartbeat(controller, status);
     call<HeartbeatResponse>(
         name, "n" + std::to_string(controller), 4000, none,
         [this, status, controller,
-         mute = now_ < w.mute_until](std::function<void(HeartbeatResponse)> respond) {
-            muted += mute;
+         mute = now_ < worker.mute_until](std::function<void(HeartbeatResponse)> respond) {
+            undelivered_heartbeats += mute;
             if (!mute) {
                 deliver_heartbeat(controller, status, std::move(respond));
             }
         },
         [this, name, sent = now_, incarnation = status.incarnation,
          controller](const HeartbeatResponse& response) {
-            take_response(name, sent, incarnation, controller, response);
+            handle_heartbeat_response(name, sent, incarnation, controller, response);
         });
 }
 
-void World::take_response(const std::string& name, Ms sent, std::uint64_t incarnation,
-                          std::size_t controller, const HeartbeatResponse& response) {
+void World::handle_heartbeat_response(const std::string& name, Ms sent, std::uint64_t incarnation,
+                                      std::size_t controller, const HeartbeatResponse& response) {
     auto found = workers_.find(name);
     if (found == workers_.end()) {
         return;
@@ -155,24 +158,25 @@
     } else if (response.code == 421 && !response.leader.empty() &&
                response.leader != "n" + std::to_string(controller)) {
         worker.controller = static_cast<std::size_t>(response.leader[1] - '0');
-        worker.next_heartbeat = now_ + pick(0, 500);
+        worker.next_heartbeat = now_ + random_integer(0, 500);
     } else {
-        worker.controller = (worker.controller + 1) % o_.controllers;
+        worker.controller = (worker.controller + 1) % options_.controllers;
         worker.next_heartbeat = now_ + 1000;
     }
-    at(std::max(now_, worker.next_heartbeat), [this, name] { heartbeat(name); });
+    schedule(std::max(now_, worker.next_heartbeat), [this, name] { heartbeat(name); });
 }
 
-// A leader begins: the copies that were kept reach every controller, older than all it will hear.
+// Called when a leader starts: delivers the recorded heartbeats to every controller. They are older
+// than any heartbeat that the new leader will receive.
 void World::deliver_replayed_reports() {
     for (const WorkerStatus& status : replayed_reports_) {
-        for (std::size_t i = 0; i < o_.controllers; ++i) {
-            at(now_ + pick(0, 400), [this, i, status] {
+        for (std::size_t i = 0; i < options_.controllers; ++i) {
+            schedule(now_ + random_integer(0, 400), [this, i, status] {
                 if (!hosts_[i]->controller) {
                     return;
                 }
-                ++reports_for_next;
-                feed(i, HeartbeatRequest{next_request_++, status});
+                ++heartbeats_replayed_to_leader;
+                enqueue_input(i, HeartbeatRequest{next_request_++, status});
             });
         }
     }
@@ -183,279 +187,292 @@
     const Worker& worker = *workers_.at(machine);
     return std::any_of(worker.tasks.begin(), worker.tasks.end(), [this](const auto& entry) {
         const Job& job = *jobs_.at(entry.second.job);
-        return entry.second.on && (job.spec.one_zone || !job.zone.empty());
+        return entry.second.active && (job.spec.one_zone || !job.zone.empty());
     });
 }
 
-void World::execute(Worker& w, const WorkerCommand& o) {
-    switch (o.type) {
+void World::execute(Worker& worker, const WorkerCommand& command) {
+    switch (command.type) {
         case WorkerCommandType::clear: {
-            auto it = w.tasks.find(std::tuple{o.job, o.task, o.attempt});
-            if (it != w.tasks.end() && it->second.state == TaskState::exited) {
-                w.tasks.erase(it);
+            auto it = worker.tasks.find(std::tuple{command.job, command.task, command.attempt});
+            if (it != worker.tasks.end() && it->second.state == TaskState::exited) {
+                worker.tasks.erase(it);
             }
             return;
         }
         case WorkerCommandType::run:
-            execute_run(w, o);
+            execute_run(worker, command);
             return;
         case WorkerCommandType::stop:
-            execute_stop(w, o);
+            execute_stop(worker, command);
             return;
     }
 }
 
-void World::execute_run(Worker& w, const WorkerCommand& o) {
-    auto key = std::tuple{o.job, o.task, o.attempt};
-    auto it = w.tasks.find(key);
-    if (it != w.tasks.end()) {
+void World::execute_run(Worker& worker, const WorkerCommand& command) {
+    auto key = std::tuple{command.job, command.task, command.attempt};
+    auto it = worker.tasks.find(key);
+    if (it != worker.tasks.end()) {
         return;
     }
-    Running& r = w.tasks[key];
-    r.job = o.job;
-    r.task = o.task;
-    r.attempt = o.attempt;
+    Running& running_task = worker.tasks[key];
+    running_task.job = command.job;
+    running_task.task = command.task;
+    running_task.attempt = command.attempt;
     auto refuse = [&](const char* cause) {
-        r.state = TaskState::exited;
-        r.cause = cause;
-        changed(w);
+        running_task.state = TaskState::exited;
+        running_task.cause = cause;
+        hasten_heartbeat(worker);
     };
-    auto j = jobs_.find(o.job);
-    if (j == jobs_.end() || !j->second->submitted || o.task >= j->second->spec.tasks) {
+    auto job_entry = jobs_.find(command.job);
+    if (job_entry == jobs_.end() || !job_entry->second->submitted ||
+        command.task >= job_entry->second->spec.tasks) {
         refuse("unknown");
         return;
     }
     Resources used;
-    for (auto& [k, t] : w.tasks) {
-        if (t.state == TaskState::exited || k == key) {
+    for (auto& [k, other_task] : worker.tasks) {
+        if (other_task.state == TaskState::exited || k == key) {
             continue;
         }
-        used += jobs_.at(t.job)->spec.task_resources;
-        if (t.job == o.job && t.task == o.task) {
+        used += jobs_.at(other_task.job)->spec.task_resources;
+        if (other_task.job == command.job && other_task.task == command.task) {
             refuse("busy");
             return;
         }
     }
-    if (!j->second->spec.task_resources.fits_in(machine_types_[w.machine_type].size - used)) {
+    if (!job_entry->second->spec.task_resources.fits_in(machine_types_[worker.machine_type].size -
+                                                        used)) {
         refuse("no_room");
         return;
     }
-    r.state = TaskState::pulling;
-    note(w, r, TaskEvent::What::ordered);
-    begin_fetch(w, j->second->image());
-    changed(w);
-    at(now_ + pick(200, 4000), [this, name = w.name, o, incarnation = w.incarnation] {
-        auto found = workers_.find(name);
-        if (found == workers_.end() || found->second->incarnation != incarnation) {
-            return;
-        }
-        image_ready(name, o.job, o.task, o.attempt);
-    });
+    running_task.state = TaskState::pulling;
+    record_task_event(worker, running_task, TaskEvent::EventType::ordered);
+    begin_fetch(worker, job_entry->second->image());
+    hasten_heartbeat(worker);
+    schedule(now_ + random_integer(200, 4000),
+             [this, name = worker.name, command, incarnation = worker.incarnation] {
+                 auto found = workers_.find(name);
+                 if (found == workers_.end() || found->second->incarnation != incarnation) {
+                     return;
+                 }
+                 image_ready(name, command.job, command.task, command.attempt);
+             });
 }
 
-void World::execute_stop(Worker& w, const WorkerCommand& o) {
-    auto key = std::tuple{o.job, o.task, o.attempt};
-    auto it = w.tasks.find(key);
-    if (it == w.tasks.end() || it->second.state == TaskState::exited) {
+void World::execute_stop(Worker& worker, const WorkerCommand& command) {
+    auto key = std::tuple{command.job, command.task, command.attempt};
+    auto it = worker.tasks.find(key);
+    if (it == worker.tasks.end() || it->second.state == TaskState::exited) {
         return;
     }
-    Running& r = it->second;
-    const Job& j = *jobs_.at(r.job);
-    bool saves = r.state == TaskState::running && j.spec.checkpoint_interval_s > 0 &&
-                 o.grace_s >= j.spec.checkpoint_duration_s && !j.spec.gang();
-    if (r.state == TaskState::saving && o.grace_s > 0) {
+    Running& running_task = it->second;
+    const Job& job_record = *jobs_.at(running_task.job);
+    bool saves =
+        running_task.state == TaskState::running && job_record.spec.checkpoint_interval_s > 0 &&
+        command.grace_s >= job_record.spec.checkpoint_duration_s && !job_record.spec.gang();
+    if (running_task.state == TaskState::saving && command.grace_s > 0) {
         return;
     }
     if (!saves) {
-        end(w, r, "stopped", false);
+        end(worker, running_task, "stopped", false);
         return;
     }
-    r.state = TaskState::saving;
-    jobs_.at(r.job)->progress[r.task] += now_ - r.began;
-    std::uint64_t version = ++r.version;
-    changed(w);
-    at(now_ + to_ms(j.spec.checkpoint_duration_s),
-       [this, name = w.name, key, version, incarnation = w.incarnation] {
-           auto found = workers_.find(name);
-           if (found == workers_.end() || found->second->incarnation != incarnation) {
-               return;
-           }
-           auto t = found->second->tasks.find(key);
-           if (t == found->second->tasks.end() || t->second.version != version) {
-               return;
-           }
-           end(*found->second, t->second, "stopped", true);
-       });
+    running_task.state = TaskState::saving;
+    jobs_.at(running_task.job)->progress[running_task.task] += now_ - running_task.began;
+    std::uint64_t version = ++running_task.version;
+    hasten_heartbeat(worker);
+    schedule(now_ + to_ms(job_record.spec.checkpoint_duration_s),
+             [this, name = worker.name, key, version, incarnation = worker.incarnation] {
+                 auto found = workers_.find(name);
+                 if (found == workers_.end() || found->second->incarnation != incarnation) {
+                     return;
+                 }
+                 auto entry = found->second->tasks.find(key);
+                 if (entry == found->second->tasks.end() || entry->second.version != version) {
+                     return;
+                 }
+                 end(*found->second, entry->second, "stopped", true);
+             });
 }
 
 void World::image_ready(const std::string& machine, const std::string& job, std::uint32_t task,
                         std::uint32_t attempt) {
-    Worker& w = *workers_.at(machine);
-    auto it = w.tasks.find({job, task, attempt});
-    if (it == w.tasks.end() || it->second.state != TaskState::pulling) {
+    Worker& worker = *workers_.at(machine);
+    auto it = worker.tasks.find({job, task, attempt});
+    if (it == worker.tasks.end() || it->second.state != TaskState::pulling) {
         return;
     }
-    Running& r = it->second;
-    Job& j = *jobs_.at(job);
-    end_fetch(w, j.image());
-    check_start(w, r);
-    r.on = true;
+    Running& running_task = it->second;
+    Job& job_record = *jobs_.at(job);
+    end_fetch(worker, job_record.image());
+    check_start(worker, running_task);
+    running_task.active = true;
     ++started;
-    if (j.done[task]) {
-        end(w, r, "done", false);
+    if (job_record.done[task]) {
+        end(worker, running_task, "done", false);
         return;
     }
-    if (!j.spec.gang()) {
-        begin(w, r);
+    if (!job_record.spec.gang()) {
+        begin(worker, running_task);
         return;
     }
-    r.state = TaskState::waiting;
-    changed(w);
+    running_task.state = TaskState::waiting;
+    hasten_heartbeat(worker);
     std::vector<std::pair<Worker*, Running*>> gang_members;
     for (auto& [name, other] : workers_) {
-        for (auto& [key, t] : other->tasks) {
-            if (t.job == job && t.attempt == attempt && t.state == TaskState::waiting && t.on) {
-                gang_members.emplace_back(other.get(), &t);
+        for (auto& [key, other_task] : other->tasks) {
+            if (other_task.job == job && other_task.attempt == attempt &&
+                other_task.state == TaskState::waiting && other_task.active) {
+                gang_members.emplace_back(other.get(), &other_task);
             }
         }
     }
-    if (gang_members.size() == j.spec.tasks) {
-        for (auto& [worker, t] : gang_members) {
-            begin(*worker, *t);
+    if (gang_members.size() == job_record.spec.tasks) {
+        for (auto& [member_worker, member] : gang_members) {
+            begin(*member_worker, *member);
         }
         return;
     }
-    std::uint64_t version = r.version;
-    at(now_ + to_ms(kGangWait),
-       [this, machine, job, task, attempt, version, incarnation = w.incarnation] {
-           auto found = workers_.find(machine);
-           if (found == workers_.end() || found->second->incarnation != incarnation) {
-               return;
-           }
-           auto t = found->second->tasks.find({job, task, attempt});
-           if (t == found->second->tasks.end() || t->second.version != version ||
-               t->second.state != TaskState::waiting) {
-               return;
-           }
-           end(*found->second, t->second, "alone", false);
-       });
+    std::uint64_t version = running_task.version;
+    schedule(now_ + to_ms(kGangWaitSeconds),
+             [this, machine, job, task, attempt, version, incarnation = worker.incarnation] {
+                 auto found = workers_.find(machine);
+                 if (found == workers_.end() || found->second->incarnation != incarnation) {
+                     return;
+                 }
+                 auto entry = found->second->tasks.find({job, task, attempt});
+                 if (entry == found->second->tasks.end() || entry->second.version != version ||
+                     entry->second.state != TaskState::waiting) {
+                     return;
+                 }
+                 end(*found->second, entry->second, "alone", false);
+             });
 }
 
-void World::begin(Worker& w, Running& r) {
-    r.state = TaskState::running;
-    r.began = now_;
-    note(w, r, TaskEvent::What::began);
-    std::uint64_t version = ++r.version;
-    Job& j = *jobs_.at(r.job);
-    Ms left = std::max<Ms>(300, j.run_ms - (j.spec.gang() ? 0 : j.progress[r.task]));
-    changed(w);
-    if (j.spec.service()) {
-        replicas_again += r.attempt > 1;
-        end_replica_sometimes(w, r);
+void World::begin(Worker& worker, Running& running_task) {
+    running_task.state = TaskState::running;
+    running_task.began = now_;
+    record_task_event(worker, running_task, TaskEvent::EventType::began);
+    std::uint64_t version = ++running_task.version;
+    Job& job_record = *jobs_.at(running_task.job);
+    Ms left = std::max<Ms>(
+        300,
+        job_record.run_ms - (job_record.spec.gang() ? 0 : job_record.progress[running_task.task]));
+    hasten_heartbeat(worker);
+    if (job_record.spec.service()) {
+        replica_restarts += running_task.attempt > 1;
+        maybe_end_replica(worker, running_task);
         return;
     }
-    auto key = std::tuple{r.job, r.task, r.attempt};
+    auto key = std::tuple{running_task.job, running_task.task, running_task.attempt};
     if (now_ + left < active_.cancellation_at_end && chance(0.3)) {
         ++cancelled_at_end;
-        at(now_ + std::max<Ms>(0, left + pick(-300, 700)), [this, id = r.job] { cancel(id); });
+        schedule(now_ + std::max<Ms>(0, left + random_integer(-300, 700)),
+                 [this, id = running_task.job] { cancel(id); });
     }
-    at(now_ + left, [this, name = w.name, key, version, incarnation = w.incarnation] {
+    schedule(now_ + left, [this, name = worker.name, key, version,
+                           incarnation = worker.incarnation] {
         auto found = workers_.find(name);
         if (found == workers_.end() || found->second->incarnation != incarnation) {
             return;
         }
-        auto t = found->second->tasks.find(key);
-        if (t == found->second->tasks.end() || t->second.version != version) {
+        auto entry = found->second->tasks.find(key);
+        if (entry == found->second->tasks.end() || entry->second.version != version) {
             return;
         }
         Job& job = *jobs_.at(std::get<0>(key));
         if (!job.spec.gang()) {
             job.done[std::get<1>(key)] = true;
-            end(*found->second, t->second, "done", false);
+            end(*found->second, entry->second, "done", false);
             return;
         }
-        // A gang completes together, or not at all when a mate is already gone.
+        // All tasks of a gang complete together, or none if one has already stopped.
         std::uint32_t running = 0;
         for (auto& [n, other] : workers_) {
-            for (auto& [k, mate] : other->tasks) {
-                running += mate.job == std::get<0>(key) && mate.attempt == std::get<2>(key) &&
-                           mate.state == TaskState::running;
+            for (auto& [k, member] : other->tasks) {
+                running += member.job == std::get<0>(key) && member.attempt == std::get<2>(key) &&
+                           member.state == TaskState::running;
             }
         }
         if (running < job.spec.tasks) {
             return;
         }
         for (auto& [n, other] : workers_) {
-            for (auto& [k, mate] : other->tasks) {
-                if (mate.job == std::get<0>(key) && mate.attempt == std::get<2>(key) &&
-                    mate.state == TaskState::running) {
-                    job.done[mate.task] = true;
-                    end(*other, mate, "done", false);
+            for (auto& [k, member] : other->tasks) {
+                if (member.job == std::get<0>(key) && member.attempt == std::get<2>(key) &&
+                    member.state == TaskState::running) {
+                    job.done[member.task] = true;
+                    end(*other, member, "done", false);
                 }
             }
         }
     });
 }
 
-// A replica has no end of its own, but some end all the same, with or without an error.
-void World::end_replica_sometimes(Worker& w, const Running& r) {
-    if (!o_.faults || now_ >= o_.duration * 8 / 10 || !chance(0.2)) {
+// Service replicas run until stopped. Some exit on their own, with or without an error.
+void World::maybe_end_replica(Worker& worker, const Running& running_task) {
+    if (!options_.faults || now_ >= options_.duration * 8 / 10 || !chance(0.2)) {
         return;
     }
-    auto key = std::tuple{r.job, r.task, r.attempt};
+    auto key = std::tuple{running_task.job, running_task.task, running_task.attempt};
     const char* cause = chance(0.5) ? "done" : "error";
-    Ms when = now_ + pick(500, 30000);
-    well_since_ = std::max(well_since_, when);
-    at(when, [this, name = w.name, key, cause, version = r.version] {
-        auto worker = workers_.find(name);
-        if (worker == workers_.end()) {
+    Ms when = now_ + random_integer(500, 30000);
+    faults_end_at_ = std::max(faults_end_at_, when);
+    schedule(when, [this, name = worker.name, key, cause, version = running_task.version] {
+        auto found = workers_.find(name);
+        if (found == workers_.end()) {
             return;
         }
-        auto task = worker->second->tasks.find(key);
-        if (task != worker->second->tasks.end() && task->second.version == version) {
-            end(*worker->second, task->second, cause, false);
+        auto task = found->second->tasks.find(key);
+        if (task != found->second->tasks.end() && task->second.version == version) {
+            end(*found->second, task->second, cause, false);
         }
     });
 }
 
-void World::end(Worker& w, Running& r, const std::string& cause, bool progress_saved) {
-    bool was_running = r.state == TaskState::running || r.state == TaskState::saving;
-    note(w, r, TaskEvent::What::ended);
-    if (r.state == TaskState::pulling) {
-        w.fetching.erase(jobs_.at(r.job)->image());  // given up
-    }
-    r.state = TaskState::exited;
-    r.cause = cause;
-    r.progress_saved = progress_saved;
-    r.on = false;
-    ++r.version;
-    changed(w);
+void World::end(Worker& worker, Running& running_task, const std::string& cause,
+                bool progress_saved) {
+    bool was_running =
+        running_task.state == TaskState::running || running_task.state == TaskState::saving;
+    record_task_event(worker, running_task, TaskEvent::EventType::ended);
+    if (running_task.state == TaskState::pulling) {
+        worker.fetching.erase(jobs_.at(running_task.job)->image());  // the fetch is abandoned
+    }
+    running_task.state = TaskState::exited;
+    running_task.cause = cause;
+    running_task.progress_saved = progress_saved;
+    running_task.active = false;
+    ++running_task.version;
+    hasten_heartbeat(worker);
     if (was_running && cause != "done") {
-        gang_lost(r.job, r.attempt);
+        end_remaining_gang_members(running_task.job, running_task.attempt);
     }
 }
 
-void World::gang_lost(const std::string& job, std::uint32_t attempt) {
+void World::end_remaining_gang_members(const std::string& job, std::uint32_t attempt) {
     auto found = jobs_.find(job);
     if (found == jobs_.end() || !found->second->spec.gang()) {
         return;
     }
-    at(now_ + pick(100, to_ms(kGangPeer)), [this, job, attempt] {
-        for (auto& [name, w] : workers_) {
-            for (auto& [key, t] : w->tasks) {
-                if (t.job == job && t.attempt == attempt && t.state == TaskState::running) {
-                    end(*w, t, "mates_gone", false);
+    schedule(now_ + random_integer(100, to_ms(kGangPeerSeconds)), [this, job, attempt] {
+        for (auto& [name, worker] : workers_) {
+            for (auto& [key, other_task] : worker->tasks) {
+                if (other_task.job == job && other_task.attempt == attempt &&
+                    other_task.state == TaskState::running) {
+                    end(*worker, other_task, "mates_gone", false);
                 }
             }
         }
     });
 }
 
-std::vector<std::string> World::on_machines(const std::string& job) const {
+std::vector<std::string> World::machines_running_job(const std::string& job) const {
     std::vector<std::string> names;
-    for (const auto& [name, w] : workers_) {
-        if (std::any_of(w->tasks.begin(), w->tasks.end(),
-                        [&](const auto& t) { return t.second.job == job && t.second.on; })) {
+    for (const auto& [name, worker] : workers_) {
+        if (std::any_of(worker->tasks.begin(), worker->tasks.end(), [&](const auto& entry) {
+                return entry.second.job == job && entry.second.active;
+            })) {
             names.push_back(name);
         }
     }
--- a/tests/standin/rules.cpp
+++ b/tests/standin/rules.cpp
@@ -1,4 +1,4 @@
-// The rule checker: it looks only at the records of the simulated world, never into a controller.
+// Checks the rules against the records of the simulation only; never reads a controller's state.
 #include <algorithm>
 
 #include "standin/entities.hpp"
@@ -6,120 +6,125 @@
 
 namespace walkford::standin {
 
-void World::broken(const std::string& rule, const std::string& what) {
+void World::report_violation(const std::string& rule, const std::string& what) {
     if (violations.size() < 20) {
-        violations.push_back(rule + ": " + what + " at " + std::to_string(now_));
+        violations.push_back(rule + ": " + what + " at " + std::to_string(now_) + " ms");
     }
 }
 
-void World::check_start(const Worker& w, const Running& r) {
-    const Job& j = *jobs_.at(r.job);
-    std::string who = r.job + "/" + std::to_string(r.task);
+void World::check_start(const Worker& worker, const Running& running_task) {
+    const Job& job = *jobs_.at(running_task.job);
+    std::string who = running_task.job + "/" + std::to_string(running_task.task);
     std::map<std::string, std::uint32_t> zones;
-    Resources used = j.spec.task_resources;
+    Resources used = job.spec.task_resources;
     for (const auto& [name, other] : workers_) {
-        for (const auto& [key, t] : other->tasks) {
-            if (!t.on) {
+        for (const auto& [key, task] : other->tasks) {
+            if (!task.active) {
                 continue;
             }
-            const Job& oj = *jobs_.at(t.job);
-            if (oj.team == j.team) {
-                used += oj.spec.task_resources;
+            const Job& other_job = *jobs_.at(task.job);
+            if (other_job.team == job.team) {
+                used += other_job.spec.task_resources;
             }
-            if (t.job != r.job) {
+            if (task.job != running_task.job) {
                 continue;
             }
             ++zones[other->zone];
-            if (t.task == r.task) {
-                broken("ran_twice", who + " on " + w.name + " while on " + name);
+            if (task.task == running_task.task) {
+                report_violation("ran_twice", who + " on " + worker.name + " while on " + name);
             }
         }
     }
-    for (const Team& t : platform_settings_.teams) {
-        if (t.name != j.team) {
+    for (const Team& team : platform_settings_.teams) {
+        if (team.name != job.team) {
             continue;
         }
-        if ((t.quota.cpus > 0 && used.cpus > t.quota.cpus + 1e-6) ||
-            (t.quota.gpus > 0 && used.gpus > t.quota.gpus + 1e-6)) {
-            broken("quota", "team " + t.name);
+        if ((team.quota.cpus > 0 && used.cpus > team.quota.cpus + 1e-6) ||
+            (team.quota.gpus > 0 && used.gpus > team.quota.gpus + 1e-6)) {
+            report_violation("quota", "team " + team.name + " exceeds its quota");
         }
     }
-    bool machine_type_ok = j.any_machine_type ||
-                           std::find(j.machine_types.begin(), j.machine_types.end(),
-                                     machine_type_names_[w.machine_type]) != j.machine_types.end();
-    if (!machine_type_ok || (!j.zone.empty() && j.zone != w.zone) || (w.spot && !j.spec.spot)) {
-        broken("wrong_place", who + " on " + w.name);
+    bool machine_type_ok =
+        job.any_machine_type ||
+        std::find(job.machine_types.begin(), job.machine_types.end(),
+                  machine_type_names_[worker.machine_type]) != job.machine_types.end();
+    if (!machine_type_ok || (!job.zone.empty() && job.zone != worker.zone) ||
+        (worker.spot && !job.spec.spot)) {
+        report_violation("wrong_place", who + " on " + worker.name);
     }
-    if (j.spec.one_zone && !zones.empty() && (zones.size() > 1 || !zones.count(w.zone))) {
-        broken("wrong_place", who + " not in its job's zone");
+    if (job.spec.one_zone && !zones.empty() && (zones.size() > 1 || !zones.count(worker.zone))) {
+        report_violation("wrong_place", who + " outside the single zone of its job");
     }
-    if (j.spec.spread && zones[w.zone] + 1 > j.spec.max_tasks_per_zone()) {
-        broken("wrong_place", who + " too many in a zone");
+    if (job.spec.spread && zones[worker.zone] + 1 > job.spec.max_tasks_per_zone()) {
+        report_violation("wrong_place", who + ": too many tasks of the job in the zone");
     }
-    // One whose start command was on its way may start, until its time is over.
-    starts_after_cancel += j.cancel_told >= 0;
-    if (j.cancel_told >= 0 && now_ > j.cancel_told + to_ms(kCancel)) {
-        broken("ran_cancelled", who + " starts");
+    // A task whose start command was in flight may still start, until cancel_s has passed.
+    starts_after_cancel += job.cancel_reported_at >= 0;
+    if (job.cancel_reported_at >= 0 && now_ > job.cancel_reported_at + to_ms(kCancelSeconds)) {
+        report_violation("ran_cancelled", who + " started after cancel_s had passed");
     }
 }
 
-void World::sweep() {
-    for (auto& [name, w] : workers_) {
-        if (now_ > w->lease_from + to_ms(kRealLease)) {
-            // The lease is over: all tasks are killed and forgotten.
-            auto tasks = std::move(w->tasks);
-            leases_over += tasks.empty() ? 0 : 1;
-            w->tasks.clear();
-            forget_images(*w);
-            ++w->incarnation;
-            w->lease_from = now_;
-            changed(*w);
-            for (auto& [key, r] : tasks) {
-                if (r.on) {
-                    gang_lost(r.job, r.attempt);
+void World::run_periodic_checks() {
+    for (auto& [name, worker] : workers_) {
+        if (now_ > worker->lease_from + to_ms(kRealLeaseSeconds)) {
+            // The lease has expired: the worker kills and forgets all its tasks.
+            auto tasks = std::move(worker->tasks);
+            expired_leases_with_tasks += tasks.empty() ? 0 : 1;
+            worker->tasks.clear();
+            forget_images(*worker);
+            ++worker->incarnation;
+            worker->lease_from = now_;
+            hasten_heartbeat(*worker);
+            for (auto& [key, running_task] : tasks) {
+                if (running_task.active) {
+                    end_remaining_gang_members(running_task.job, running_task.attempt);
                 }
             }
         }
-        for (auto& [key, t] : w->tasks) {
-            const Job& j = *jobs_.at(t.job);
-            if (t.on && j.cancel_told >= 0 && now_ > j.cancel_told + to_ms(kCancel)) {
-                broken("ran_cancelled", t.job + " on " + name);
+        for (auto& [key, task] : worker->tasks) {
+            const Job& job = *jobs_.at(task.job);
+            if (task.active && job.cancel_reported_at >= 0 &&
+                now_ > job.cancel_reported_at + to_ms(kCancelSeconds)) {
+                report_violation("ran_cancelled",
+                                 task.job + " still on " + name + " after cancel_s had passed");
             }
         }
     }
     std::erase_if(cuts_, [&](const Cut& c) { return now_ > c.until; });
-    check_waits();
-    at(now_ + 100, [this] { sweep(); });
+    check_waiting_jobs();
+    schedule(now_ + 100, [this] { run_periodic_checks(); });
 }
 
-// Once the troubles are over, no task waits 90 s while a machine that fits has room and its team is
-// under its limit. (Gangs need room for all at once, which is left to not_served.)
-void World::check_waits() {
+// Once all faults are over, no task may wait for 90 s while a suitable machine has room and its
+// team is within its quota. Gangs need room for all tasks at once and are covered by not_served.
+void World::check_waiting_jobs() {
     constexpr Ms kLongestWait = 90000;
     constexpr Ms kEvery = 1000;
-    if (o_.calm <= 0 || now_ < waits_checked_ + kEvery) {
+    if (options_.recovery_period <= 0 || now_ < waits_last_checked_at_ + kEvery) {
         return;
     }
-    waits_checked_ = now_;
+    waits_last_checked_at_ = now_;
     for (auto& [id, job] : jobs_) {
         bool gang = job->spec.starts_together();
-        bool over = job->cancel_asked || job->accepted_told < 0 || job->all_done();
-        if (gang || over || !waits_beside_room(*job)) {
-            job->fits_since = -1;
+        bool over = job->cancel_requested || job->accepted_reported_at < 0 || job->all_done();
+        if (gang || over || !waits_despite_room(*job)) {
+            job->waits_with_room_since = -1;
             continue;
         }
-        if (job->fits_since < 0) {
-            job->fits_since = now_;
+        if (job->waits_with_room_since < 0) {
+            job->waits_with_room_since = now_;
         }
-        if (now_ > std::max(job->fits_since, well_since_) + kLongestWait) {
-            broken("waits_beside_room", id);
-            job->fits_since = now_;
+        if (now_ > std::max(job->waits_with_room_since, faults_end_at_) + kLongestWait) {
+            report_violation("waits_beside_room", id + " waits for over 90 s");
+            job->waits_with_room_since = now_;
         }
     }
 }
 
-// No task of the job is on a machine, one is left to run, and there is room for it.
-bool World::waits_beside_room(const Job& job) const {
+// Returns whether no task of the job is on a machine although its team's quota and a suitable
+// machine have room for one.
+bool World::waits_despite_room(const Job& job) const {
     Resources team_used;
     for (const auto& [name, worker] : workers_) {
         for (const auto& [key, task] : worker->tasks) {
@@ -159,86 +164,89 @@
     });
 }
 
-void World::told(Job& j, const UserResponse& a, bool cancelling, Ms asked) {
-    auto before = [asked](Ms told) { return told >= 0 && told <= asked; };
-    if (a.code == 404 && before(j.accepted_told)) {
-        broken("forgotten", j.spec.id + " answered 404");
+void World::check_response(Job& job, const UserResponse& response, bool cancelling, Ms asked) {
+    auto before = [asked](Ms reported_at) { return reported_at >= 0 && reported_at <= asked; };
+    if (response.code == 404 && before(job.accepted_reported_at)) {
+        report_violation("forgotten", job.spec.id + " answered with 404 after it was accepted");
     }
-    if ((a.code == 400 || a.code == 422) && before(j.accepted_told)) {
-        broken("forgotten", j.spec.id + " refused when repeated");
+    if ((response.code == 400 || response.code == 422) && before(job.accepted_reported_at)) {
+        report_violation("forgotten", job.spec.id + " rejected when its submission was repeated");
     }
-    if (a.code != 200 && a.code != 201) {
+    if (response.code != 200 && response.code != 201) {
         return;
     }
-    if (!j.submitted) {
-        broken("invented", j.spec.id);
+    if (!job.submitted) {
+        report_violation("invented", job.spec.id + " reported but never submitted");
     }
-    if (j.accepted_told < 0) {
-        j.accepted_told = now_;
+    if (job.accepted_reported_at < 0) {
+        job.accepted_reported_at = now_;
         ++accepted;
-        small_jobs += j.small;
+        small_jobs += job.small;
     }
-    if (before(j.done_told) && a.status != JobStatus::done) {
-        broken("went_back", j.spec.id + " was done");
+    if (before(job.done_reported_at) && response.status != JobStatus::done) {
+        report_violation("went_back", job.spec.id + " was reported done before");
     }
-    if (before(j.cancel_told) && a.status != JobStatus::cancelled) {
-        broken("went_back", j.spec.id + " was cancelled");
+    if (before(job.cancel_reported_at) && response.status != JobStatus::cancelled) {
+        report_violation("went_back", job.spec.id + " was reported cancelled before");
     }
-    if (a.status == JobStatus::cancelled) {
-        if (!j.cancel_asked) {
-            broken("went_back", j.spec.id + " cancelled by nobody");
+    if (response.status == JobStatus::cancelled) {
+        if (!job.cancel_requested) {
+            report_violation("went_back", job.spec.id + " reported cancelled without a request");
         }
-        if (j.cancel_told < 0) {
-            j.cancel_told = now_;
-            if (!on_machines(j.spec.id).empty()) {
+        if (job.cancel_reported_at < 0) {
+            job.cancel_reported_at = now_;
+            if (!machines_running_job(job.spec.id).empty()) {
                 ++cancelled_running;
                 if (in_gap_) {
-                    ++gap_cancelled;
-                    at(now_ + pick(0, 600), [this] { gap_outage(); });
+                    ++cancelled_in_gap;
+                    schedule(now_ + random_integer(0, 600), [this] { start_gap_outage(); });
                 }
             }
         }
     }
-    if (a.status == JobStatus::done) {
-        if (!j.all_done()) {
-            broken("not_done", j.spec.id);
+    if (response.status == JobStatus::done) {
+        if (!job.all_done()) {
+            report_violation("not_done", job.spec.id + " reported done with unfinished tasks");
         }
-        if (j.done_told < 0) {
+        if (job.done_reported_at < 0) {
             ++jobs_done;
-            j.done_told = now_;
+            job.done_reported_at = now_;
         }
     }
-    if (cancelling && a.status != JobStatus::done && a.status != JobStatus::cancelled) {
-        broken("went_back", j.spec.id + " cancel answered otherwise");
+    if (cancelling && response.status != JobStatus::done &&
+        response.status != JobStatus::cancelled) {
+        report_violation("went_back", job.spec.id + " cancellation answered with another state");
     }
 }
 
-void World::last_look() {
-    if (o_.calm <= 0) {
+void World::check_all_jobs_served() {
+    if (options_.recovery_period <= 0) {
         return;
     }
-    for (const auto& [id, j] : jobs_) {
-        if (j->accepted_told < 0 || j->cancel_asked || j->all_done()) {
+    for (const auto& [id, job] : jobs_) {
+        if (job->accepted_reported_at < 0 || job->cancel_requested || job->all_done()) {
             continue;
         }
-        const JobSpec& s = j->spec;
-        if (s.service()) {
+        const JobSpec& spec = job->spec;
+        if (spec.service()) {
             std::size_t up = replicas_up(id);
-            if (up < s.tasks) {
-                broken("not_served", id + ": " + std::to_string(up) + " of " +
-                                         std::to_string(s.tasks) + " replicas run");
+            if (up < spec.tasks) {
+                report_violation("not_served", id + ": " + std::to_string(up) + " of " +
+                                                   std::to_string(spec.tasks) +
+                                                   " replicas are running");
             }
             continue;
         }
-        broken("not_served",
-               id + " (" + std::to_string(s.tasks) + (s.gang() ? " together" : " tasks") + " of " +
-                   std::to_string(static_cast<int>(s.task_resources.cpus)) + " cores, " +
-                   std::to_string(static_cast<int>(s.task_resources.gpus)) + " GPUs, " +
-                   std::to_string(static_cast<int>(s.task_resources.ram)) + " GB, " + j->team +
-                   (s.one_zone ? ", one zone" : "") + (s.spread ? ", spread" : "") +
-                   (j->zone.empty() ? "" : ", in " + j->zone) + (s.spot ? "" : ", no spot") +
-                   (j->any_machine_type ? "" : ", only " + j->machine_types[0]) + ") accepted at " +
-                   std::to_string(j->accepted_told));
+        report_violation(
+            "not_served",
+            id + " (" + std::to_string(spec.tasks) + (spec.gang() ? " gang tasks" : " tasks") +
+                " of " + std::to_string(static_cast<int>(spec.task_resources.cpus)) + " cores, " +
+                std::to_string(static_cast<int>(spec.task_resources.gpus)) + " GPUs, " +
+                std::to_string(static_cast<int>(spec.task_resources.ram)) + " GB, " + job->team +
+                (spec.one_zone ? ", one zone" : "") + (spec.spread ? ", spread" : "") +
+                (job->zone.empty() ? "" : ", in " + job->zone) + (spec.spot ? "" : ", no spot") +
+                (job->any_machine_type ? "" : ", only " + job->machine_types[0]) +
+                ") accepted at " + std::to_string(job->accepted_reported_at) + " ms");
     }
 }
 
--- a/tests/standin/scenarios.cpp
+++ b/tests/standin/scenarios.cpp
@@ -1,4 +1,4 @@
-// Scenarios of the simulated world that single tests ask for, and what they and faults are made of.
+// Scenarios that individual tests select, and operations shared with the faults.
 #include <algorithm>
 
 #include "standin/entities.hpp"
@@ -6,34 +6,35 @@
 
 namespace walkford::standin {
 
-void World::cut(const std::string& a, const std::string& b, Ms span, bool hold, bool one_way) {
-    // Every message looks at all of them.
+void World::cut_link(const std::string& a, const std::string& b, Ms span, bool hold, bool one_way) {
+    // Expired cuts are removed because every message checks all of them.
     std::erase_if(cuts_, [this](const Cut& c) { return now_ >= c.until; });
     cuts_.push_back({a, b, now_ + span, hold, one_way});
-    well_since_ = std::max(well_since_, now_ + span);
+    faults_end_at_ = std::max(faults_end_at_, now_ + span);
 }
 
-// The machine is back at once: a new session, no tasks, perhaps no memory of any token.
+// The machine is back at once with a new session and no tasks. In half of the cases it has lost its
+// fencing token.
 void World::reboot(const std::string& machine) {
-    Worker& w = *workers_.at(machine);
-    auto tasks = std::move(w.tasks);
-    w.tasks.clear();
-    ++w.incarnation;
-    forget_images(w);
+    Worker& worker = *workers_.at(machine);
+    auto tasks = std::move(worker.tasks);
+    worker.tasks.clear();
+    ++worker.incarnation;
+    forget_images(worker);
     if (chance(0.5)) {
-        w.fencing_token = 0;
+        worker.fencing_token = 0;
     }
-    w.lease_from = now_;
-    changed(w);
-    for (auto& [key, r] : tasks) {
-        if (r.on) {
-            gang_lost(r.job, r.attempt);
+    worker.lease_from = now_;
+    hasten_heartbeat(worker);
+    for (auto& [key, running_task] : tasks) {
+        if (running_task.active) {
+            end_remaining_gang_members(running_task.job, running_task.attempt);
         }
     }
 }
 
 std::size_t World::leader_or(std::size_t otherwise) const {
-    for (std::size_t k = 0; k < o_.controllers; ++k) {
+    for (std::size_t k = 0; k < options_.controllers; ++k) {
         if (hosts_[k]->controller && hosts_[k]->controller->leading()) {
             return k;
         }
@@ -41,83 +42,83 @@
     return otherwise;
 }
 
-void World::restart(std::size_t i, Ms least, Ms most) {
+void World::restart_controller(std::size_t i, Ms least, Ms most) {
     if (!hosts_[i]->controller) {
         return;
     }
     crash_controller(i);
-    at(now_ + pick(least, most), [this, i] {
+    schedule(now_ + random_integer(least, most), [this, i] {
         if (!hosts_[i]->controller) {
             start_controller(i);
         }
     });
 }
 
-void World::split() {
+void World::isolate_leader() {
     constexpr Ms kSpan = 100000;
-    cloud_->out_until = now_ + kSpan;  // or the machines would be given back from the other side
-    for (std::size_t i = 0; i < o_.controllers; ++i) {
+    cloud_->out_until = now_ + kSpan;  // otherwise the other side would return the machines
+    for (std::size_t i = 0; i < options_.controllers; ++i) {
         bool leads = hosts_[i]->controller && hosts_[i]->controller->leading();
         std::string controller = "n" + std::to_string(i);
         if (leads) {
-            cut(controller, "state", kSpan, false);
-            cut(controller, "cloud", kSpan, false);
-            cut(controller, "users", kSpan, false);
-            for (std::size_t k = 0; k < o_.controllers; ++k) {
-                cut(controller, "n" + std::to_string(k), kSpan, false);
+            cut_link(controller, "state", kSpan, false);
+            cut_link(controller, "cloud", kSpan, false);
+            cut_link(controller, "users", kSpan, false);
+            for (std::size_t k = 0; k < options_.controllers; ++k) {
+                cut_link(controller, "n" + std::to_string(k), kSpan, false);
             }
         } else {
-            for (auto& [name, w] : workers_) {
-                cut(name, controller, kSpan, false);
+            for (auto& [name, worker] : workers_) {
+                cut_link(name, controller, kSpan, false);
             }
         }
     }
 }
 
-void World::gap() {
-    for (std::size_t i = 0; i < o_.controllers; ++i) {
+void World::start_cancellation_gap() {
+    for (std::size_t i = 0; i < options_.controllers; ++i) {
         if (!hosts_[i]->controller || !hosts_[i]->controller->leading()) {
             continue;
         }
         state_->refuse("n" + std::to_string(i), now_ + 14000);
         in_gap_ = true;
     }
-    for (const auto& [id, j] : jobs_) {
-        if (j->accepted_told < 0 || j->done_told >= 0 || j->cancel_asked) {
+    for (const auto& [id, job] : jobs_) {
+        if (job->accepted_reported_at < 0 || job->done_reported_at >= 0 || job->cancel_requested) {
             continue;
         }
-        at(now_ + pick(0, 1500), [this, id = id] { cancel(id); });
+        schedule(now_ + random_integer(0, 1500), [this, id = id] { cancel(id); });
     }
-    at(now_ + 2500, [this] { gap_outage(); });  // before the leader's lease is over
+    schedule(now_ + 2500, [this] { start_gap_outage(); });  // before the leader's lease expires
 }
 
-void World::gap_outage() {
+void World::start_gap_outage() {
     if (!in_gap_) {
         return;
     }
     in_gap_ = false;
     constexpr Ms kSpan = 45000;
     state_->begin_outage(now_, kSpan);
-    well_since_ = std::max(well_since_, now_ + kSpan);
-    if (!o_.gap_restarts) {
+    faults_end_at_ = std::max(faults_end_at_, now_ + kSpan);
+    if (!options_.gap_restarts_followers) {
         return;
     }
-    for (std::size_t i = 0; i < o_.controllers; ++i) {
+    for (std::size_t i = 0; i < options_.controllers; ++i) {
         if (!hosts_[i]->controller || hosts_[i]->controller->leading()) {
             continue;
         }
-        at(now_ + pick(0, 4000), [this, i] {
-            ++gap_restarted;
-            restart(i, 50, 400);
+        schedule(now_ + random_integer(0, 4000), [this, i] {
+            ++restarted_in_gap;
+            restart_controller(i, 50, 400);
         });
     }
 }
 
 void World::plan_faults() {
-    Ms t = 8000;
-    while (t < o_.duration * 8 / 10) {
-        at(t, [this] { injector_.inject(o_.only); });
-        t += pick(500, 14000);
+    Ms when = 8000;
+    while (when < options_.duration * 8 / 10) {
+        schedule(when, [this] { injector_.inject(options_.only); });
+        when += random_integer(500, 14000);
     }
 }
 
--- a/tests/standin/test_support.hpp
+++ b/tests/standin/test_support.hpp
@@ -1,4 +1,4 @@
-// What the tests of the simulated world share: a quiet log and a day's broken rules as text.
+// Helpers shared by the simulation tests.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,8 +12,8 @@
 
 namespace walkford::standin {
 
-// No log but at the level that LOG_LEVEL names.
-class QuietLog : public testing::Environment {
+// Logs at the level named by LOG_LEVEL; logging is off if it is not set.
+class LogLevelFromEnvironment : public testing::Environment {
   public:
     void SetUp() override {
         const char* level = std::getenv("LOG_LEVEL");
@@ -21,7 +21,8 @@
     }
 };
 
-inline std::string all(const World& world) {
+// Returns the violations of a run as text, one per line.
+inline std::string join_violations(const World& world) {
     std::string text;
     for (const std::string& violation : world.violations) {
         text += "\n  " + violation;
@@ -29,7 +30,7 @@
     return text;
 }
 
-// The seeds to search, SEEDS=from:to in the environment; none without it.
+// Returns the seeds given as SEEDS=from:to or SEEDS=seed in the environment; empty if not set.
 inline std::vector<std::uint64_t> seeds_to_search() {
     const char* range = std::getenv("SEEDS");
     if (!range) {
--- a/tests/standin/upgrade.cpp
+++ b/tests/standin/upgrade.cpp
@@ -1,5 +1,4 @@
-// A change of version while the controllers serve, and what comes with it: services that users
-// submit once it is over, and limits of the state service that fall.
+// Rolling upgrade of the controllers, services submitted after it, and lowered store limits.
 #include <algorithm>
 
 #include "standin/entities.hpp"
@@ -8,79 +7,79 @@
 namespace walkford::standin {
 
 namespace {
-constexpr Ms kBetweenUpgrades = 6000;
+constexpr Ms kUpgradeInterval = 6000;
 constexpr StoreLimits kLowerLimits{700, 60, 1, 4};
 }  // namespace
 
-// The controllers end one after the other, in any order, and come back with the new version. One
-// that ends before its turn, for whatever reason, comes back with the old one.
+// Stops the controllers one by one in random order; each restarts with the new version. A
+// controller that restarts earlier for another reason comes back with the old version.
 void World::plan_rollout() {
-    std::vector<std::size_t> order(o_.controllers);
-    for (std::size_t i = 0; i < o_.controllers; ++i) {
+    std::vector<std::size_t> order(options_.controllers);
+    for (std::size_t i = 0; i < options_.controllers; ++i) {
         order[i] = i;
     }
     std::shuffle(order.begin(), order.end(), rng_);
-    if (o_.one_stays_old) {
+    if (options_.one_controller_stays_old) {
         order.pop_back();
     }
-    Ms when = o_.rollout_at;
+    Ms when = options_.rollout_at;
     for (std::size_t i : order) {
-        at(when, [this, i] {
+        schedule(when, [this, i] {
             hosts_[i]->upgraded = true;
             ++upgraded;
             if (hosts_[i]->controller) {
                 crash_controller(i);
             }
-            at(now_ + pick(50, 6000), [this, i] {
+            schedule(now_ + random_integer(50, 6000), [this, i] {
                 if (!hosts_[i]->controller) {
                     start_controller(i);
                 }
             });
         });
-        when += kBetweenUpgrades;
+        when += kUpgradeInterval;
     }
 }
 
 std::uint32_t World::feature_level(std::size_t i) const {
-    return o_.rollout_at < 0 || hosts_[i]->upgraded ? kFeatureNewest : kFeatureNone;
+    return options_.rollout_at < 0 || hosts_[i]->upgraded ? kFeatureNewest : kFeatureNone;
 }
 
 void World::plan_lower_limits() {
     platform_settings_.next_store_limits = kLowerLimits;
-    at(o_.limits_fall_at, [this] { state_->set_limits(kLowerLimits); });
+    schedule(options_.limits_lowered_at, [this] { state_->set_limits(kLowerLimits); });
 }
 
 void World::plan_services() {
-    Ms from = o_.rollout_at < 0
+    Ms from = options_.rollout_at < 0
                   ? 500
-                  : o_.rollout_at + static_cast<Ms>(o_.controllers) * kBetweenUpgrades;
-    for (int n = 0; n < o_.services; ++n) {
+                  : options_.rollout_at + static_cast<Ms>(options_.controllers) * kUpgradeInterval;
+    for (int n = 0; n < options_.services; ++n) {
         auto job = std::make_unique<Job>();
-        JobSpec& s = job->spec;
-        s.id = "j-7" + std::to_string(100000 + n);
-        s.shape = JobShape::service;
-        s.tasks = static_cast<std::uint32_t>(pick(1, 4));
-        s.priority = Priority::production;
-        s.task_resources = {1, 0, 2};
-        s.spread = chance(0.5);
-        s.spot = chance(0.3);
-        s.image_gb = 1;
-        s.deadline_s = -1;
+        JobSpec& spec = job->spec;
+        spec.id = "j-7" + std::to_string(100000 + n);
+        spec.shape = JobShape::service;
+        spec.tasks = static_cast<std::uint32_t>(random_integer(1, 4));
+        spec.priority = Priority::production;
+        spec.task_resources = {1, 0, 2};
+        spec.spread = chance(0.5);
+        spec.spot = chance(0.3);
+        spec.image_gb = 1;
+        spec.deadline_s = -1;
         job->team = "blue";
-        job->done.assign(s.tasks, false);
-        job->progress.assign(s.tasks, 0);
-        Ms when = pick(from, std::max(from + 1000, o_.duration * 7 / 10));
+        job->done.assign(spec.tasks, false);
+        job->progress.assign(spec.tasks, 0);
+        Ms when = random_integer(from, std::max(from + 1000, options_.duration * 7 / 10));
         job->give_up = when + 60000;
-        std::string id = s.id;
+        std::string id = spec.id;
         jobs_[id] = std::move(job);
-        at(when, [this, id] { submit(id); });
+        schedule(when, [this, id] { submit(id); });
         if (chance(0.3)) {
-            at(when + pick(5000, 60000), [this, id] { cancel(id); });
+            schedule(when + random_integer(5000, 60000), [this, id] { cancel(id); });
         }
     }
 }
 
-// How many replicas of the service run.
+// Returns the number of running replicas of the service.
 std::size_t World::replicas_up(const std::string& id) const {
     std::size_t up = 0;
     for (const auto& [name, worker] : workers_) {
--- a/tests/standin/world.hpp
+++ b/tests/standin/world.hpp
@@ -1,6 +1,7 @@
-// A small world in one process: state service, cloud, workers, users and the network between them,
-// on simulated time, written from PROTOCOL's pages alone. It drives several cores and checks the
-// rules by its own records; it never looks into the service's cluster.
+// Simulates the store, the cloud, workers, users and the network between them in one process on
+// simulated time. The simulation is implemented from the protocol documentation alone. It drives
+// several controllers and checks invariants against its own records; it never reads the cluster
+// state inside a controller.
 #pragma once
 
 #include <functional>
@@ -17,18 +18,18 @@
 
 namespace walkford::standin {
 
-// A zone that is lost for a while: nothing reaches its machines and controllers, or leaves them.
+// A temporary zone outage: no message reaches or leaves the machines and controllers of the zone.
 struct ZoneLoss {
     Ms at = 0;
     Ms span = 0;
     std::string zone = {};
-    double share = 1;         // of its machines; its controllers go with all of them only
-    bool cold = false;        // its machines are gone for good, its controllers start anew
-    bool scales_out = false;  // the cloud goes on renting there, but nothing comes up meanwhile
+    double share = 1;         // fraction of machines lost; controllers are lost only with 1
+    bool cold = false;        // machines are terminated and controllers restart
+    bool scales_out = false;  // the cloud accepts requests, but machines boot after the loss
     bool controllers = true;
 };
 
-// Jobs alike that users submit at one moment.
+// A group of identical jobs that users submit at nearly the same time.
 struct PlannedWork {
     Ms at = 0;
     std::string job_class = {};
@@ -38,24 +39,24 @@
     Ms run_ms = 20000;
     JobShape shape = JobShape::array;
     Priority priority = Priority::normal;
-    std::string zone = {};  // the only allowed one; empty: any
+    std::string zone = {};  // the only allowed zone; empty allows any
     bool spread = false;
     bool one_zone = false;
     Ms cancel_at = -1;
 };
 
-// What happened to one attempt of a task on a machine.
+// A lifecycle event of one task attempt on a machine.
 struct TaskEvent {
-    enum class What : std::uint8_t { ordered, began, ended };
+    enum class EventType : std::uint8_t { ordered, began, ended };
     Ms at = 0;
-    What what = What::began;
+    EventType what = EventType::began;
     std::string job, job_class;
     std::uint32_t task = 0;
     std::uint32_t attempt = 0;
     std::string zone, machine;
 };
 
-// An image fetch began: how many were then under way.
+// The start of an image fetch, with the number of fetches in progress including this one.
 struct FetchEvent {
     Ms at = 0;
     std::string zone;
@@ -69,48 +70,52 @@
     std::size_t controllers = 3;
     int jobs = 24;
     bool faults = true;
-    Ms longest_run = 20000;
-    // From then on, for 100 s, the leader reaches the workers and nobody else does; nor does it
-    // reach anything else.
-    Ms split_at = -1;
-    // From then on, for so long, nobody reaches the state service; all controllers live.
+    Ms max_run_duration = 20000;
+    // Time of a partition of 100 s: only the leader can reach the workers, and it can reach nothing
+    // else. -1 disables it.
+    Ms leader_isolated_at = -1;
+    // Start and duration of a store outage during which all controllers keep running; -1 disables
+    // it.
     Ms outage_at = -1;
-    Ms outage_for = 0;
-    // From then on the state service refuses the leader alone, users call off what runs, and as
-    // soon as one of them is told so by another controller (the gap), nobody reaches the service
-    // for longer than cancel_s. The workers reach the leader all the while.
-    Ms gap_at = -1;
-    // ... and within that outage the other controllers end and come back.
-    bool gap_restarts = false;
-    // Only these faults, or all when empty.
+    Ms outage_duration = 0;
+    // From this time the store refuses only the leader, and users cancel their jobs. As soon as
+    // another controller confirms the cancellation of a running job, the store is unavailable to
+    // everyone for longer than cancel_s. Workers can reach the leader throughout. -1 disables it.
+    Ms cancellation_gap_at = -1;
+    // Whether the other controllers restart during that outage.
+    bool gap_restarts_followers = false;
+    // The faults to inject; empty allows all of them.
     std::vector<Fault> only;
-    // After the last trouble everything is well for so long, and then every job must have been
-    // served and every question about one answered (rules not_served and forgotten).
-    Ms calm = 0;
+    // Time without faults after the last one. At its end every job must have been served and every
+    // status request answered (rules not_served and forgotten). 0 disables these checks.
+    Ms recovery_period = 0;
     double unacknowledged_release_s = 12;
-    // Services that users submit, after the rollout if there is one.
+    // Number of services that users submit; submission starts after the rollout, if there is one.
     int services = 0;
-    // All controllers begin with the old version, and from then on change over; -1: none does.
+    // All controllers start with the old version and are upgraded one by one from this time; -1
+    // disables the rollout.
     Ms rollout_at = -1;
-    bool one_stays_old = false;  // the last controller is not upgraded on this day
-    // From then on the state service's limits are lower; the settings told so from the start.
-    Ms limits_fall_at = -1;
+    bool one_controller_stays_old = false;  // one controller is left out of the rollout
+    // From this time the store enforces lower limits. The settings announce them from the start.
+    // -1 disables the change.
+    Ms limits_lowered_at = -1;
     std::vector<std::string> zones{"a", "b"};
     std::vector<ZoneLoss> zone_losses = {};
     std::vector<PlannedWork> work = {};
-    std::vector<Ms> leader_ends_at = {};
-    int cloud_room = 4;  // machines of a kind, zone and sort that the cloud has
+    std::vector<Ms> leader_restarts_at = {};
+    int cloud_machines_per_option = 4;  // per machine type, zone and purchase option (spot or not)
     ZoneFailoverSettings zone_failover = {};
-    // What stands in the state service before anybody starts.
+    // Initial contents of the store.
     std::map<std::string, Json> stored = {};
-    // Told what each step of a controller put out, and when; empty: nobody listens.
+    // Called with the outputs of each controller step; may be empty.
     std::function<void(Ms now, std::size_t controller, const Outputs&)> on_outputs = {};
-    // Mutations: each takes one guard away, and the checks must then find a broken rule.
-    bool strip_fence = false;    // transactions lose their conditions
-    bool hide_relays = false;    // leaders don't see who answers workers for them
-    double told_lease_s = 0;     // the service believes this lease instead of the real one
-    double told_cancel_s = 0;    // ... and this time for cancellations
-    double told_quota_cpus = 0;  // ... and this limit of the first team
+    // Mutations: each removes one safeguard, and the checks must then report a violation.
+    bool drop_transaction_conditions = false;  // removes the comparisons from all transactions
+    bool hide_relay_records = false;           // removes relay records from store replies
+    double configured_lease_s =
+        0;  // worker lease in the controllers' settings, if not the real one
+    double configured_cancel_s = 0;    // cancel_s in the controllers' settings, if not the real one
+    double configured_quota_cpus = 0;  // CPU quota of the first team in the controllers' settings
 };
 
 class World {
@@ -125,37 +130,37 @@
     std::vector<TaskEvent> history;
     std::vector<FetchEvent> fetches;
     std::vector<std::pair<Ms, std::string>>
-        scale_out_requests;  // each machine: when, and in which zone
+        scale_out_requests;  // time and zone of each requested machine
     int started = 0;
     int jobs_done = 0;
     int elections = 0;
     int accepted = 0;
-    int machines_deaf = 0;
-    int leases_over = 0;  // sessions that ended with tasks
-    int copies = 0;
-    int gap_cancelled = 0;  // jobs with a task on a machine, called off within the gap
-    int gap_restarted = 0;  // controllers that came back in the outage behind it
-    // How often the meetings of troubles came about.
-    int written_late = 0;           // transactions without an answer that changed something later
-    int cancelled_running = 0;      // jobs told to be cancelled while a task was on a machine
-    int cancelled_at_end = 0;       // jobs called off at the end of a task of theirs
-    int muted = 0;                  // reports that reached nobody
-    int answers_lost = 0;           // transactions that changed something and were not answered
-    int close_looks = 0;            // questions and repeats right after an answer
-    int commands_late = 0;          // direct commands carried out late
-    int reports_for_next = 0;       // reports that reached a new leader as it began
-    int cancelled_in_handover = 0;  // running jobs told to be cancelled near a change of leader
-    int started_fast = 0;           // machines up within two seconds while writes lagged
-    int small_jobs = 0;             // accepted of a flood
-    int zone_bound_losses = 0;      // machines lost that ran a task bound to their zone
-    int starts_after_cancel = 0;    // starts after a confirmed cancellation, within cancel_s
-    int refused_jobs = 0;           // jobs that can't run, and are told so
-    int relayed = 0;                // reports answered by another than the leader
-    int upgraded = 0;               // controllers that changed over
-    int replicas_again = 0;         // replicas of services that ran once more
+    int machines_not_receiving = 0;
+    int expired_leases_with_tasks = 0;  // worker sessions whose lease expired while they had tasks
+    int duplicate_heartbeats = 0;
+    int cancelled_in_gap = 0;  // running jobs whose cancellation was confirmed in the gap
+    int restarted_in_gap = 0;  // controllers restarted in the outage after the gap
+    // Counts of fault combinations that occurred, so that tests can check their coverage.
+    int writes_applied_late = 0;     // unanswered transactions that were applied late
+    int cancelled_running = 0;       // cancellations confirmed while a task was on a machine
+    int cancelled_at_end = 0;        // jobs cancelled around the time one of their tasks ends
+    int undelivered_heartbeats = 0;  // heartbeats dropped by the machines_mute fault
+    int write_replies_lost = 0;      // transactions applied whose reply was lost
+    int close_looks = 0;             // polls sent to every controller right after a response
+    int commands_applied_late = 0;   // direct commands executed late
+    int heartbeats_replayed_to_leader = 0;  // recorded heartbeats delivered when a leader starts
+    int cancelled_in_handover = 0;          // running jobs cancelled around a leader change
+    int fast_boots = 0;                     // machines requested with a boot time of at most 2 s
+    int small_jobs = 0;                     // accepted jobs of a flood
+    int zone_bound_machines_lost = 0;       // machines lost while running a zone-bound task
+    int starts_after_cancel = 0;            // task starts after a confirmed cancellation
+    int refused_jobs = 0;                   // submissions rejected because they can never run
+    int relayed = 0;                        // heartbeats answered by a follower
+    int upgraded = 0;                       // controllers upgraded
+    int replica_restarts = 0;               // service replicas started again
     int services_accepted = 0;
-    int services_refused = 0;      // 503 while a controller is old
-    std::size_t largest_turn = 0;  // inputs that a controller took in together
+    int services_refused = 0;             // 503 responses while a controller has the old version
+    std::size_t largest_input_batch = 0;  // most inputs handled in one event loop iteration
 
   private:
     friend class FaultInjector;
@@ -165,63 +170,64 @@
     struct Host;
     struct Running;
 
-    void at(Ms when, std::function<void()> what);
-    std::int64_t pick(std::int64_t least, std::int64_t most);
+    void schedule(Ms when, std::function<void()> what);
+    std::int64_t random_integer(std::int64_t least, std::int64_t most);
     bool chance(double p);
-    // When a message sent now arrives; -1: never.
-    Ms path(const std::string& from, const std::string& to);
+    // Arrival time of a message sent now; -1 if it is lost.
+    Ms arrival_time(const std::string& from, const std::string& to);
     template <typename R>
     void call(const std::string& from, const std::string& to, Ms timeout, R none,
               std::function<void(std::function<void(R)>)> execute, std::function<void(R)> done);
 
-    void broken(const std::string& rule, const std::string& what);
+    void report_violation(const std::string& rule, const std::string& what);
     void start_controller(std::size_t i);
     void crash_controller(std::size_t i);
-    void feed(std::size_t i, const Input& input);
-    void take_turn(std::size_t i);
-    void carry_out(std::size_t i, Output& output);
-    // What becomes of a message that controller `i` sends.
+    void enqueue_input(std::size_t i, const Input& input);
+    void run_iteration(std::size_t i);
+    void deliver_output(std::size_t i, Output& output);
+    // Delivers an output of controller `i`.
     void send(std::size_t i, const UserResponse& answer);
     void send(std::size_t i, const HeartbeatResponse& answer);
     void send(std::size_t i, const StoreRequest& sent);
-    void send(std::size_t i, const CloudRequest& c);
-    void send(std::size_t i, const WorkerRequest& c);
+    void send(std::size_t i, const CloudRequest& request);
+    void send(std::size_t i, const WorkerRequest& request);
     void send(std::size_t i, const OutgoingPeerHeartbeat& message);
     void send(std::size_t i, const WakeAt& wake);
-    // Hands a reply to controller `i`, unless its process has ended meanwhile.
+    // Returns a callback that delivers a reply to controller `i`, unless its process has ended.
     std::function<void(const Input&)> reply_to(std::size_t i);
-    void watch_state(const std::string& controller, const StoreRequest& call, Ms until,
-                     const std::function<void(StoreResponse)>& respond);
+    void wait_for_store_changes(const std::string& controller, const StoreRequest& call, Ms until,
+                                const std::function<void(StoreResponse)>& respond);
     void list_machine_types(Names& names, CloudResponse& reply) const;
-    void request_machines(const CloudRequest& c, CloudResponse& reply);
+    void request_machines(const CloudRequest& request, CloudResponse& reply);
     void list_machines(const std::string& after, CloudResponse& reply);
-    std::optional<WorkerResponse> obey(const WorkerRequest& c);
+    std::optional<WorkerResponse> execute_worker_request(const WorkerRequest& request);
     void plan_faults();
     void plan_zone_losses();
     void lose_zone(const ZoneLoss& loss);
-    Ms zone_dark_until(const std::string& zone) const;
+    Ms zone_unreachable_until(const std::string& zone) const;
     void plan_work();
-    void note(const Worker& worker, const Running& task, TaskEvent::What what);
+    void record_task_event(const Worker& worker, const Running& task, TaskEvent::EventType what);
     void begin_fetch(Worker& worker, const std::string& image);
     static void end_fetch(Worker& worker, const std::string& image);
     static void forget_images(Worker& worker);
-    void split();
-    void gap();
-    void gap_outage();
-    void restart(std::size_t i, Ms least, Ms most);
+    void isolate_leader();
+    void start_cancellation_gap();
+    void start_gap_outage();
+    void restart_controller(std::size_t i, Ms least, Ms most);
     std::size_t leader_or(std::size_t otherwise) const;
     void cancel_running(std::size_t most, Ms span);
-    std::vector<std::string> on_machines(const std::string& job) const;
+    std::vector<std::string> machines_running_job(const std::string& job) const;
     void submit_impossible();
     void submit_small_job();
-    void look_closely(const std::string& id);
+    void send_immediate_follow_ups(const std::string& id);
     void deliver_replayed_reports();
     bool runs_zone_bound_task(const std::string& machine) const;
-    void check_waits();
-    bool waits_beside_room(const Job& job) const;
-    void cut(const std::string& a, const std::string& b, Ms span, bool hold, bool one_way = false);
+    void check_waiting_jobs();
+    bool waits_despite_room(const Job& job) const;
+    void cut_link(const std::string& a, const std::string& b, Ms span, bool hold,
+                  bool one_way = false);
     void reboot(const std::string& machine);
-    void last_look();
+    void check_all_jobs_served();
 
     // workers
     void add_machine(const std::string& name, Id machine_type, const std::string& zone, bool spot,
@@ -230,21 +236,21 @@
     void heartbeat(const std::string& name);
     void deliver_heartbeat(std::size_t to, const WorkerStatus& status,
                            std::function<void(HeartbeatResponse)> respond);
-    void copy_heartbeat_sometimes(std::size_t controller, const WorkerStatus& status);
-    void take_response(const std::string& name, Ms sent, std::uint64_t incarnation,
-                       std::size_t controller, const HeartbeatResponse& response);
-    WorkerStatus worker_status(Worker& w);
-    void execute(Worker& w, const WorkerCommand& o);
-    void execute_run(Worker& w, const WorkerCommand& o);
-    void execute_stop(Worker& w, const WorkerCommand& o);
-    void changed(Worker& w);
+    void maybe_duplicate_heartbeat(std::size_t controller, const WorkerStatus& status);
+    void handle_heartbeat_response(const std::string& name, Ms sent, std::uint64_t incarnation,
+                                   std::size_t controller, const HeartbeatResponse& response);
+    WorkerStatus worker_status(Worker& worker);
+    void execute(Worker& worker, const WorkerCommand& command);
+    void execute_run(Worker& worker, const WorkerCommand& command);
+    void execute_stop(Worker& worker, const WorkerCommand& command);
+    void hasten_heartbeat(Worker& worker);
     void image_ready(const std::string& machine, const std::string& job, std::uint32_t task,
                      std::uint32_t attempt);
-    void begin(Worker& w, Running& r);
-    void end(Worker& w, Running& r, const std::string& cause, bool progress_saved);
-    void gang_lost(const std::string& job, std::uint32_t attempt);
-    void check_start(const Worker& w, const Running& r);
-    void sweep();
+    void begin(Worker& worker, Running& running_task);
+    void end(Worker& worker, Running& running_task, const std::string& cause, bool progress_saved);
+    void end_remaining_gang_members(const std::string& job, std::uint32_t attempt);
+    void check_start(const Worker& worker, const Running& running_task);
+    void run_periodic_checks();
 
     // users
     void plan_users();
@@ -254,29 +260,29 @@
     std::uint32_t feature_level(std::size_t i) const;
     const std::string& zone_of_controller(std::size_t i) const { return zones_[i % zones_.size()]; }
     std::size_t replicas_up(const std::string& id) const;
-    void end_replica_sometimes(Worker& w, const Running& r);
+    void maybe_end_replica(Worker& worker, const Running& running_task);
     void submit(const std::string& id);
     void poll(const std::string& id);
     void cancel(const std::string& id);
     void ask(const Input& input, Ms timeout, std::function<void(UserResponse)> done);
     void ask_controller(std::size_t controller, const Input& input, Ms timeout,
                         std::function<void(UserResponse)> done);
-    void told(Job& j, const UserResponse& a, bool cancelling, Ms asked);
+    void check_response(Job& job, const UserResponse& response, bool cancelling, Ms asked);
 
-    Options o_;
+    Options options_;
     std::mt19937_64 rng_;
     Ms now_ = 0;
-    Ms well_since_ = 0;  // the last trouble is over
+    Ms faults_end_at_ = 0;  // end of the last fault
     bool in_gap_ = false;
     ActiveFaults active_;
-    int impossible_ = 0;
-    std::uint64_t order_ = 0;
+    int impossible_job_number_ = 0;
+    std::uint64_t next_event_number_ = 0;
     std::map<std::pair<Ms, std::uint64_t>, std::function<void()>> queue_;
     struct Cut {
         std::string a, b;
         Ms until;
-        bool hold;
-        bool one_way;  // from a to b only
+        bool hold;     // delays messages until the cut ends instead of dropping them
+        bool one_way;  // blocks only messages from a to b
     };
     std::vector<Cut> cuts_;
     PlatformSettings platform_settings_;
@@ -284,7 +290,7 @@
     std::vector<MachineType> machine_types_;  // ids are indices into machine_type_names_
     std::vector<std::string> machine_type_names_;
     std::vector<std::string> zones_;
-    std::map<std::string, ZoneLoss> lost_zones_;  // the last loss of each
+    std::map<std::string, ZoneLoss> lost_zones_;  // the most recent loss of each zone
     std::unique_ptr<KeyValueStore> state_;
     std::unique_ptr<Cloud> cloud_;
     std::map<std::string, std::unique_ptr<Worker>> workers_;
@@ -292,7 +298,7 @@
     std::vector<std::unique_ptr<Host>> hosts_;
     std::vector<WorkerStatus> replayed_reports_;
     int small_job_number_ = 0;
-    Ms waits_checked_ = 0;
+    Ms waits_last_checked_at_ = 0;
     FaultInjector injector_;
     RequestId next_request_ = 1;
     int next_machine_ = 1;
--- a/tests/standin/zone_days.cpp
+++ b/tests/standin/zone_loss_scenarios.cpp
@@ -1,10 +1,10 @@
-#include "standin/zone_days.hpp"
+#include "standin/zone_loss_scenarios.hpp"
 
 #include <algorithm>
 
 namespace walkford::standin {
 
-ZoneFailoverSettings switched_on() {
+ZoneFailoverSettings failover_enabled() {
     ZoneFailoverSettings settings;
     settings.enabled = true;
     settings.evacuation_order = {"closing", "scoring"};
@@ -18,10 +18,10 @@
     o.jobs = 0;
     o.faults = false;
     o.duration = 260000;
-    o.calm = 120000;
-    o.cloud_room = 4;
-    o.zone_failover = switched_on();
-    o.zone_losses = {{kLossAt, kLossFor, "a"}};
+    o.recovery_period = 120000;
+    o.cloud_machines_per_option = 4;
+    o.zone_failover = failover_enabled();
+    o.zone_losses = {{kLossAt, kLossDuration, "a"}};
     Ms at = 2000;
     for (const char* job_class : {"other", "scoring", "closing"}) {
         o.work.push_back({at, job_class, 5, 1, 4, 45000});
@@ -32,23 +32,23 @@
     return o;
 }
 
-std::map<std::string, std::vector<Ms>> started_again(const World& world, Ms lost_at,
-                                                     const std::string& zone) {
+std::map<std::string, std::vector<Ms>> restart_times_by_class(const World& world, Ms lost_at,
+                                                              const std::string& zone) {
     std::map<std::string, std::string> ran_there;  // job -> class
     for (const TaskEvent& e : world.history) {
         if (e.at >= lost_at || e.zone != zone) {
             continue;
         }
-        if (e.what == TaskEvent::What::began) {
+        if (e.what == TaskEvent::EventType::began) {
             ran_there[e.job] = e.job_class;
         }
-        if (e.what == TaskEvent::What::ended) {
+        if (e.what == TaskEvent::EventType::ended) {
             ran_there.erase(e.job);
         }
     }
     std::map<std::string, std::vector<Ms>> times;
     for (const TaskEvent& e : world.history) {
-        if (e.at < lost_at || e.what != TaskEvent::What::ordered) {
+        if (e.at < lost_at || e.what != TaskEvent::EventType::ordered) {
             continue;
         }
         if (auto it = ran_there.find(e.job); it != ran_there.end()) {
@@ -59,7 +59,7 @@
     return times;
 }
 
-std::vector<ZoneState> states_of(const World& world, const std::string& zone) {
+std::vector<ZoneState> zone_states(const World& world, const std::string& zone) {
     std::vector<ZoneState> states;
     for (const auto& [at, value] : world.state().history(keys::zone_record(zone))) {
         auto record = decode_zone(value);
@@ -69,7 +69,7 @@
     }
     return states;
 }
-Ms first_in(const World& world, const std::string& zone, ZoneState state, Ms from) {
+Ms first_time_in_state(const World& world, const std::string& zone, ZoneState state, Ms from) {
     for (const auto& [at, value] : world.state().history(keys::zone_record(zone))) {
         auto record = decode_zone(value);
         if (at >= from && record && record->state == state) {
@@ -82,7 +82,7 @@
 Options cold_return(std::uint64_t seed) {
     Options o = evacuation(seed);
     o.zone_losses.front().cold = true;
-    o.cloud_room = 10;
+    o.cloud_machines_per_option = 10;
     o.duration = 400000;
     o.zone_failover.max_fetches_per_machine = 1;
     o.zone_failover.max_fetches_per_zone = 2;
@@ -95,10 +95,11 @@
     return o;
 }
 
-std::pair<int, int> most_fetched(const World& w) {
+std::pair<int, int> max_concurrent_fetches(const World& w) {
     std::pair<int, int> most{0, 0};
     for (const FetchEvent& e : w.fetches) {
-        if (e.zone == "a" && e.at > kLossAt + kLossFor && e.at < kLossAt + kLossFor + 90000) {
+        if (e.zone == "a" && e.at > kLossAt + kLossDuration &&
+            e.at < kLossAt + kLossDuration + 90000) {
             most = {std::max(most.first, e.in_zone), std::max(most.second, e.on_machine)};
         }
     }
--- a/tests/standin/zone_days.hpp
+++ b/tests/standin/zone_loss_scenarios.hpp
@@ -8,9 +8,9 @@
 namespace walkford::standin {
 
 inline constexpr Ms kLossAt = 40000;
-inline constexpr Ms kLossFor = 60000;
+inline constexpr Ms kLossDuration = 60000;
 
-ZoneFailoverSettings switched_on();
+ZoneFailoverSettings failover_enabled();
 
 // Two zones with little room, three classes alike but for their place in the order, submitted with
 // the last of them first; then zone a is lost.
@@ -20,16 +20,16 @@
 Options cold_return(std::uint64_t seed);
 
 // When each job that ran in the zone at its loss was first started again: by class.
-std::map<std::string, std::vector<Ms>> started_again(const World& world, Ms lost_at,
-                                                     const std::string& zone);
+std::map<std::string, std::vector<Ms>> restart_times_by_class(const World& world, Ms lost_at,
+                                                              const std::string& zone);
 
 // The states of the zone's record, one after the other.
-std::vector<ZoneState> states_of(const World& world, const std::string& zone);
+std::vector<ZoneState> zone_states(const World& world, const std::string& zone);
 
 // When the zone's record first named the state from then on; kNever: it did not.
-Ms first_in(const World& world, const std::string& zone, ZoneState state, Ms from);
+Ms first_time_in_state(const World& world, const std::string& zone, ZoneState state, Ms from);
 
 // The most images fetched at once in zone a while it returned, in the zone and on a machine.
-std::pair<int, int> most_fetched(const World& world);
+std::pair<int, int> max_concurrent_fetches(const World& world);
 
 }  // namespace walkford::standin
--- a/tests/standin/zone_losses.cpp
+++ b/tests/standin/zone_losses.cpp
@@ -1,5 +1,4 @@
-// Zones of the simulated world that are lost for a while, and the work that is planned to show what
-// becomes of it.
+// Temporary zone losses, and the planned jobs and recorded events that show their effects.
 #include <algorithm>
 
 #include "standin/entities.hpp"
@@ -8,12 +7,12 @@
 namespace walkford::standin {
 
 void World::plan_zone_losses() {
-    for (const ZoneLoss& loss : o_.zone_losses) {
-        well_since_ = std::max(well_since_, loss.at + loss.span);
-        at(loss.at, [this, loss] { lose_zone(loss); });
+    for (const ZoneLoss& loss : options_.zone_losses) {
+        faults_end_at_ = std::max(faults_end_at_, loss.at + loss.span);
+        schedule(loss.at, [this, loss] { lose_zone(loss); });
     }
-    for (Ms when : o_.leader_ends_at) {
-        at(when, [this] { restart(leader_or(0), 2000, 4000); });
+    for (Ms when : options_.leader_restarts_at) {
+        schedule(when, [this] { restart_controller(leader_or(0), 2000, 4000); });
     }
 }
 
@@ -30,23 +29,23 @@
         if (loss.cold) {
             kill_machine(machines[i]);
         } else {
-            cut(machines[i], "*", loss.span, false);
+            cut_link(machines[i], "*", loss.span, false);
         }
     }
-    for (std::size_t i = 0; loss.controllers && loss.share >= 1 && i < o_.controllers; ++i) {
+    for (std::size_t i = 0; loss.controllers && loss.share >= 1 && i < options_.controllers; ++i) {
         if (zone_of_controller(i) != loss.zone) {
             continue;
         }
         if (loss.cold) {
-            restart(i, loss.span, loss.span + 1000);
+            restart_controller(i, loss.span, loss.span + 1000);
         } else {
-            cut("n" + std::to_string(i), "*", loss.span, false);
+            cut_link("n" + std::to_string(i), "*", loss.span, false);
         }
     }
 }
 
-// Until when nothing in the zone comes up; -1: it is not lost.
-Ms World::zone_dark_until(const std::string& zone) const {
+// Returns the end of the zone'spec complete loss; -1 if the zone is not completely lost.
+Ms World::zone_unreachable_until(const std::string& zone) const {
     auto it = lost_zones_.find(zone);
     if (it == lost_zones_.end() || it->second.share < 1) {
         return -1;
@@ -58,47 +57,48 @@
 void World::plan_work() {
     constexpr Ms kApart = 20;
     int number = 0;
-    for (const PlannedWork& work : o_.work) {
+    for (const PlannedWork& work : options_.work) {
         for (int n = 0; n < work.jobs; ++n) {
             auto job = std::make_unique<Job>();
-            JobSpec& s = job->spec;
-            s.id = "j-6" + std::to_string(100000 + number++);
-            s.shape = work.shape;
-            s.tasks = work.tasks;
-            s.priority = work.priority;
-            s.task_resources = {work.cpus, 0, 2};
-            s.spread = work.spread;
-            s.one_zone = work.one_zone;
-            s.image_gb = 1;
-            s.checkpoint_interval_s = 0;
-            s.deadline_s = -1;
+            JobSpec& spec = job->spec;
+            spec.id = "j-6" + std::to_string(100000 + number++);
+            spec.shape = work.shape;
+            spec.tasks = work.tasks;
+            spec.priority = work.priority;
+            spec.task_resources = {work.cpus, 0, 2};
+            spec.spread = work.spread;
+            spec.one_zone = work.one_zone;
+            spec.image_gb = 1;
+            spec.checkpoint_interval_s = 0;
+            spec.deadline_s = -1;
             job->zone = work.zone;
             job->team = "blue";
             job->job_class = work.job_class;
             job->any_machine_type = false;
             job->machine_types = {"small"};
-            job->run_ms = work.run_ms + pick(0, work.run_ms / 4);
-            s.estimate_s = static_cast<double>(job->run_ms) / 1000.0;
-            job->done.assign(s.tasks, false);
-            job->progress.assign(s.tasks, 0);
+            job->run_ms = work.run_ms + random_integer(0, work.run_ms / 4);
+            spec.estimate_s = static_cast<double>(job->run_ms) / 1000.0;
+            job->done.assign(spec.tasks, false);
+            job->progress.assign(spec.tasks, 0);
             job->give_up = work.at + 60000;
-            std::string id = s.id;
+            std::string id = spec.id;
             jobs_[id] = std::move(job);
-            at(work.at + kApart * n, [this, id] { submit(id); });
+            schedule(work.at + kApart * n, [this, id] { submit(id); });
             if (work.cancel_at >= 0) {
-                at(work.cancel_at + kApart * n, [this, id] { cancel(id); });
+                schedule(work.cancel_at + kApart * n, [this, id] { cancel(id); });
             }
         }
     }
 }
 
-void World::note(const Worker& worker, const Running& task, TaskEvent::What what) {
+void World::record_task_event(const Worker& worker, const Running& task,
+                              TaskEvent::EventType what) {
     const Job& job = *jobs_.at(task.job);
     history.push_back(
         {now_, what, task.job, job.job_class, task.task, task.attempt, worker.zone, worker.name});
 }
 
-// An image that the machine does not hold yet is fetched from now until it is there.
+// Records the fetch of an image that the machine neither has nor is already fetching.
 void World::begin_fetch(Worker& worker, const std::string& image) {
     if (worker.images.count(image) > 0 || worker.fetching.count(image) > 0) {
         return;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -12,16 +12,17 @@
 namespace walkford::standin {
 namespace {
 
-const testing::Environment* const kQuietLog = testing::AddGlobalTestEnvironment(new QuietLog);
+const testing::Environment* const kQuietLog =
+    testing::AddGlobalTestEnvironment(new LogLevelFromEnvironment);
 
 Options rollout_options(std::uint64_t seed) {
     Options options;
     options.seed = seed;
     options.duration = 150000;
-    options.calm = 200000;
+    options.recovery_period = 200000;
     options.services = 8;
     options.rollout_at = 20000;
-    options.limits_fall_at = 60000;
+    options.limits_lowered_at = 60000;
     return options;
 }
 
@@ -31,7 +32,7 @@
     void add(const World& world) {
         upgraded += world.upgraded;
         accepted += world.accepted;
-        replicas_restarted += world.replicas_again;
+        replicas_restarted += world.replica_restarts;
         too_large += world.state().refused_for_size;
         too_frequent += world.state().refused_for_rate;
         elections += world.elections;
@@ -46,7 +47,7 @@
         options.faults = false;
         World world(options);
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
         totals.add(world);
     }
     EXPECT_EQ(totals.upgraded, 30);
@@ -62,7 +63,7 @@
         std::uint64_t seed = 20000 + 100 * static_cast<std::uint64_t>(GetParam()) + run;
         World world(rollout_options(seed));
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
         totals.add(world);
     }
     EXPECT_EQ(totals.upgraded, 24);
@@ -91,7 +92,7 @@
                         Fault::mass_cancellation};
         World world(options);
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << options.seed << all(world);
+        EXPECT_TRUE(world.violations.empty()) << "seed " << options.seed << join_violations(world);
         totals.add(world);
     }
     EXPECT_EQ(totals.upgraded, 36);
@@ -102,18 +103,18 @@
 // While one controller is not upgraded, services are refused at once and all other jobs run as
 // usual.
 TEST(Rollout, RefusesServicesUntilAllControllersAreUpgraded) {
-    for (bool one_stays_old : {true, false}) {
+    for (bool one_controller_stays_old : {true, false}) {
         Options options = rollout_options(7);
         options.faults = false;
-        options.calm = 0;
-        options.limits_fall_at = -1;
-        options.one_stays_old = one_stays_old;
+        options.recovery_period = 0;
+        options.limits_lowered_at = -1;
+        options.one_controller_stays_old = one_controller_stays_old;
         World world(options);
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << all(world);
-        EXPECT_EQ(world.upgraded, one_stays_old ? 2 : 3);
-        EXPECT_EQ(world.services_accepted > 0, !one_stays_old);
-        EXPECT_EQ(world.services_refused > 8, one_stays_old);
+        EXPECT_TRUE(world.violations.empty()) << join_violations(world);
+        EXPECT_EQ(world.upgraded, one_controller_stays_old ? 2 : 3);
+        EXPECT_EQ(world.services_accepted > 0, !one_controller_stays_old);
+        EXPECT_EQ(world.services_refused > 8, one_controller_stays_old);
         EXPECT_GT(world.jobs_done, 8);
     }
 }
@@ -125,12 +126,12 @@
         Options options;
         options.seed = 40000 + seed;
         options.duration = 120000;
-        options.calm = 200000;
+        options.recovery_period = 200000;
         options.services = 12;
         World world(options);
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << options.seed << all(world);
-        replicas_restarted += world.replicas_again;
+        EXPECT_TRUE(world.violations.empty()) << "seed " << options.seed << join_violations(world);
+        replicas_restarted += world.replica_restarts;
     }
     EXPECT_GT(replicas_restarted, 60);
 }
@@ -143,7 +144,7 @@
     for (std::uint64_t seed : seeds) {
         World world(rollout_options(seed));
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
     }
 }
 
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -12,7 +12,8 @@
 namespace walkford::standin {
 namespace {
 
-const testing::Environment* const kQuiet = testing::AddGlobalTestEnvironment(new QuietLog);
+const testing::Environment* const kQuiet =
+    testing::AddGlobalTestEnvironment(new LogLevelFromEnvironment);
 
 TEST(World, CompletesJobsWithoutFaults) {
     Options options;
@@ -21,12 +22,12 @@
     options.duration = 200000;
     World world(options);
     world.run();
-    EXPECT_TRUE(world.violations.empty()) << all(world);
+    EXPECT_TRUE(world.violations.empty()) << join_violations(world);
     EXPECT_EQ(world.elections, 1);
     EXPECT_GE(world.accepted, 20);
     EXPECT_GE(world.jobs_done, 12);
     EXPECT_GT(world.started, 30);
-    EXPECT_GT(world.largest_turn, 2U)
+    EXPECT_GT(world.largest_input_batch, 2U)
         << "a controller must handle several inputs in one turn, as in the real event loop";
 }
 
@@ -40,7 +41,7 @@
             static_cast<std::uint64_t>(GetParam()) * 1000 + static_cast<std::uint64_t>(run);
         World world(options);
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << options.seed << all(world);
+        EXPECT_TRUE(world.violations.empty()) << "seed " << options.seed << join_violations(world);
         started += world.started;
         done += world.jobs_done;
     }
@@ -66,13 +67,13 @@
 
 TEST(Mutation, WritesWithoutComparisonsBreakARule) {
     Options options;
-    options.strip_fence = true;
+    options.drop_transaction_conditions = true;
     EXPECT_GT(count_violations(options, 20), 0);
 }
 
 TEST(Mutation, TooShortConfiguredLeaseBreaksARule) {
     Options options;
-    options.told_lease_s = 3;
+    options.configured_lease_s = 3;
     EXPECT_GT(count_violations(options, 40), 0);
 }
 
@@ -81,14 +82,14 @@
     Options options;
     options.seed = 3;
     options.faults = false;
-    options.calm = 200000;
-    options.told_quota_cpus = 6;
+    options.recovery_period = 200000;
+    options.configured_quota_cpus = 6;
     World world(options);
     world.run();
     EXPECT_TRUE(std::any_of(
         world.violations.begin(), world.violations.end(),
         [](const std::string& violation) { return violation.rfind("waits_beside_room", 0) == 0; }))
-        << all(world);
+        << join_violations(world);
 }
 
 // Injects one kind of fault per run. Every job must have been served by the end of the fault-free
@@ -100,7 +101,7 @@
     options.seed = seed;
     options.only = std::move(only);
     options.duration = 120000;
-    options.calm = 200000;
+    options.recovery_period = 200000;
     return options;
 }
 
@@ -112,25 +113,25 @@
 };
 const std::map<Fault, FaultOccurrence>& fault_occurrences() {
     static const std::map<Fault, FaultOccurrence> table{
-        {Fault::machine_hears_nothing, {&World::machines_deaf, 10}},
-        {Fault::late_writes, {&World::written_late, 10}},
-        {Fault::late_reports, {&World::copies, 150}},
-        {Fault::machines_mute, {&World::muted, 100}},
+        {Fault::machine_hears_nothing, {&World::machines_not_receiving, 10}},
+        {Fault::late_writes, {&World::writes_applied_late, 10}},
+        {Fault::late_reports, {&World::duplicate_heartbeats, 150}},
+        {Fault::machines_mute, {&World::undelivered_heartbeats, 100}},
         {Fault::mass_cancellation, {&World::cancelled_running, 30}},
         {Fault::cancellation_at_end, {&World::cancelled_at_end, 30}},
         {Fault::leaders_end_in_turn, {&World::elections, 60}},
         {Fault::all_controllers_away, {&World::elections, 20}},
         {Fault::isolated_leader_and_cancellations, {&World::cancelled_running, 30}},
         {Fault::odd_requests, {&World::refused_jobs, 100}},
-        {Fault::lost_answers, {&World::answers_lost, 50}},
+        {Fault::lost_answers, {&World::write_replies_lost, 50}},
         {Fault::close_looks, {&World::close_looks, 200}},
-        {Fault::late_commands, {&World::commands_late, 5}},
-        {Fault::reports_for_next_leader, {&World::reports_for_next, 50}},
+        {Fault::late_commands, {&World::commands_applied_late, 5}},
+        {Fault::reports_for_next_leader, {&World::heartbeats_replayed_to_leader, 50}},
         {Fault::cancellation_in_handover, {&World::cancelled_in_handover, 10}},
         {Fault::limit_and_hanging_machines, {&World::cancelled_running, 30}},
-        {Fault::fast_machines_slow_writes, {&World::started_fast, 30}},
+        {Fault::fast_machines_slow_writes, {&World::fast_boots, 30}},
         {Fault::small_job_flood, {&World::small_jobs, 1000}},
-        {Fault::zone_loses_machines, {&World::zone_bound_losses, 10}},
+        {Fault::zone_loses_machines, {&World::zone_bound_machines_lost, 10}},
         {Fault::zones_apart, {&World::relayed, 100}},
     };
     return table;
@@ -138,19 +139,20 @@
 
 TEST_P(SingleFault, BreaksNoRuleAndEveryJobIsServed) {
     auto expected = fault_occurrences().find(GetParam());
-    int copies = 0;
+    int duplicate_heartbeats = 0;
     int occurrences = 0;
     for (std::uint64_t run = 0; run < 6; ++run) {
         World world(faulty_run({GetParam()}, 7000 + run));
         world.run();
         EXPECT_TRUE(world.violations.empty())
-            << name_of(GetParam()) << " seed " << 7000 + run << all(world);
-        copies += world.copies;
+            << name_of(GetParam()) << " seed " << 7000 + run << join_violations(world);
+        duplicate_heartbeats += world.duplicate_heartbeats;
         if (expected != fault_occurrences().end()) {
             occurrences += world.*(expected->second.count);
         }
     }
-    EXPECT_GT(copies, 15);  // every run with faults delivers some messages again later
+    EXPECT_GT(duplicate_heartbeats,
+              15);  // every run with faults delivers some messages again later
     if (expected != fault_occurrences().end()) {
         EXPECT_GT(occurrences, expected->second.threshold);
     }
@@ -171,7 +173,7 @@
     for (std::uint64_t seed = 1; seed <= 24; ++seed) {
         World world(faulty_run({}, 9000 + seed));
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
     }
 }
 
@@ -184,8 +186,8 @@
                                 Fault::late_writes, Fault::late_writes, Fault::leaders_end_in_turn},
                                11000 + seed));
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
-        late_writes += world.written_late;
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
+        late_writes += world.writes_applied_late;
         elections += world.elections;
     }
     EXPECT_GT(late_writes, 100);
@@ -214,7 +216,7 @@
             World world(faulty_run(combinations[index], 13000 + 100 * index + run));
             world.run();
             EXPECT_TRUE(world.violations.empty())
-                << "combination " << index << " run " << run << all(world);
+                << "combination " << index << " run " << run << join_violations(world);
         }
     }
 }
@@ -227,7 +229,7 @@
     for (std::uint64_t seed : seeds) {
         World world(faulty_run({}, seed));
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
     }
 }
 
@@ -248,21 +250,22 @@
 // Partitions two zones for longer than a worker lease, and returns the number of worker leases that
 // expired. Tasks in the zone without the leader must keep running, because the controllers of that
 // zone answer the workers' heartbeats on behalf of the leader.
-int count_expired_leases_in_partition(bool hide_relays, int& violations, int& relayed) {
+int count_expired_leases_in_partition(bool hide_relay_records, int& violations, int& relayed) {
     int expired_leases = 0;
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         Options options = faulty_run({Fault::zones_apart}, 15000 + seed);
-        options.longest_run = 60000;
-        options.calm = 400000;
-        options.hide_relays = hide_relays;
+        options.max_run_duration = 60000;
+        options.recovery_period = 400000;
+        options.hide_relay_records = hide_relay_records;
         World world(options);
         world.run();
         violations += static_cast<int>(world.violations.size());
-        if (!hide_relays) {
-            EXPECT_TRUE(world.violations.empty()) << "seed " << options.seed << all(world);
+        if (!hide_relay_records) {
+            EXPECT_TRUE(world.violations.empty())
+                << "seed " << options.seed << join_violations(world);
         }
         relayed += world.relayed;
-        expired_leases += world.leases_over;
+        expired_leases += world.expired_leases_with_tasks;
     }
     return expired_leases;
 }
@@ -292,14 +295,14 @@
         Options options;
         options.seed = seed;
         options.faults = false;
-        options.longest_run = 120000;
+        options.max_run_duration = 120000;
         options.duration = 200000;
         options.outage_at = 40000 + static_cast<Ms>(seed) * 333;
-        options.outage_for = 80000;
+        options.outage_duration = 80000;
         World world(options);
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
-        expired_leases += world.leases_over;
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
+        expired_leases += world.expired_leases_with_tasks;
         started += world.started;
     }
     EXPECT_GT(started, 500);
@@ -316,9 +319,9 @@
 Options leader_partition_run() {
     Options options;
     options.faults = false;
-    options.longest_run = 120000;
+    options.max_run_duration = 120000;
     options.jobs = 40;
-    options.split_at = 40000;
+    options.leader_isolated_at = 40000;
     return options;
 }
 
@@ -328,7 +331,7 @@
 
 TEST(Mutation, TooLongConfiguredCancellationTimeBreaksARule) {
     Options options = leader_partition_run();
-    options.told_cancel_s = 300;
+    options.configured_cancel_s = 300;
     EXPECT_GT(count_violations(options, 12), 0);
 }
 
@@ -339,24 +342,24 @@
     int violations = 0, cancelled = 0, restarted = 0;
     std::string first_violations;
 };
-LeaderRefusalResult run_leader_refusals(bool restarts, double told_cancel_s, int seeds) {
+LeaderRefusalResult run_leader_refusals(bool restarts, double configured_cancel_s, int seeds) {
     LeaderRefusalResult sum;
     for (int seed = 1; seed <= seeds; ++seed) {
         Options options;
         options.seed = static_cast<std::uint64_t>(seed);
         options.faults = false;
-        options.longest_run = 120000;
+        options.max_run_duration = 120000;
         options.jobs = 40;
-        options.gap_at = 50000 + 337 * seed;
-        options.gap_restarts = restarts;
-        options.told_cancel_s = told_cancel_s;
+        options.cancellation_gap_at = 50000 + 337 * seed;
+        options.gap_restarts_followers = restarts;
+        options.configured_cancel_s = configured_cancel_s;
         World world(options);
         world.run();
         sum.violations += static_cast<int>(world.violations.size());
-        sum.cancelled += world.gap_cancelled;
-        sum.restarted += world.gap_restarted;
+        sum.cancelled += world.cancelled_in_gap;
+        sum.restarted += world.restarted_in_gap;
         if (sum.first_violations.empty()) {
-            sum.first_violations = all(world);
+            sum.first_violations = join_violations(world);
         }
     }
     return sum;
--- a/tests/zone_loopback_test.cpp
+++ b/tests/zone_loopback_test.cpp
@@ -12,7 +12,7 @@
 
 #include "loopback/fleet.hpp"
 #include "loopback/platform_documents.hpp"
-#include "loopback/stand_ins.hpp"
+#include "loopback/stub_services.hpp"
 #include "loopback/zone_proxy.hpp"
 
 namespace walkford::transport {
--- a/tests/zone_loss_test.cpp
+++ b/tests/zone_loss_test.cpp
@@ -5,12 +5,13 @@
 #include <algorithm>
 
 #include "standin/test_support.hpp"
-#include "standin/zone_days.hpp"
+#include "standin/zone_loss_scenarios.hpp"
 
 namespace walkford::standin {
 namespace {
 
-const testing::Environment* const kQuietLog = testing::AddGlobalTestEnvironment(new QuietLog);
+const testing::Environment* const kQuietLog =
+    testing::AddGlobalTestEnvironment(new LogLevelFromEnvironment);
 
 // Commands travel in the responses to heartbeats, which are 1.1 to 1.9 s apart, so starts that are
 // closer than this may swap.
@@ -54,8 +55,8 @@
         change(options);
         World world(options);
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
-        auto times = started_again(world, kLossAt, "a");
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
+        auto times = restart_times_by_class(world, kLossAt, "a");
         moved += count_jobs(times);
         out_of_order += count_out_of_order(times);
     }
@@ -79,7 +80,7 @@
 TEST(ZoneLoss, ALeaderChangeDuringEvacuationKeepsTheOrder) {
     std::size_t moved = 0;
     int out_of_order = count_out_of_order_over_seeds(
-        [](Options& options) { options.leader_ends_at = {kLossAt + 19000}; }, moved);
+        [](Options& options) { options.leader_restarts_at = {kLossAt + 19000}; }, moved);
     EXPECT_EQ(out_of_order, 0);
     EXPECT_GT(moved, 30U);
 }
@@ -88,13 +89,13 @@
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         Options options = evacuation(seed);
         // The leader ends during the evacuation, and again during the recovery ramp.
-        options.leader_ends_at = {kLossAt + 19000, kLossAt + kLossFor + 30000};
+        options.leader_restarts_at = {kLossAt + 19000, kLossAt + kLossDuration + 30000};
         World world(options);
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
         EXPECT_GE(world.elections, 2);
-        EXPECT_EQ(states_of(world, "a"), kLostOnce) << "seed " << seed;
-        EXPECT_TRUE(states_of(world, "b").empty());
+        EXPECT_EQ(zone_states(world, "a"), kLostOnce) << "seed " << seed;
+        EXPECT_TRUE(zone_states(world, "b").empty());
     }
 }
 
@@ -103,15 +104,15 @@
     options.zone_losses.front().share = 0.5;
     World world(options);
     world.run();
-    EXPECT_TRUE(world.violations.empty()) << all(world);
-    EXPECT_TRUE(states_of(world, "a").empty());
+    EXPECT_TRUE(world.violations.empty()) << join_violations(world);
+    EXPECT_TRUE(zone_states(world, "a").empty());
 }
 
 // The second loss within ten minutes raises the flap penalty over the threshold, so the zone
 // returns later than after the first.
 Options flapping(std::uint64_t seed) {
     Options options = evacuation(seed);
-    options.cloud_room = 6;
+    options.cloud_machines_per_option = 6;
     options.zone_losses = {{40000, 30000, "a"}, {160000, 30000, "a"}};
     options.duration = 420000;
     // The services keep machines in both zones.
@@ -130,9 +131,11 @@
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         World world(flapping(seed));
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
-        Ms first = first_in(world, "a", ZoneState::returning, kFirstLossEnd) - kFirstLossEnd;
-        Ms second = first_in(world, "a", ZoneState::returning, kSecondLossEnd) - kSecondLossEnd;
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
+        Ms first =
+            first_time_in_state(world, "a", ZoneState::returning, kFirstLossEnd) - kFirstLossEnd;
+        Ms second =
+            first_time_in_state(world, "a", ZoneState::returning, kSecondLossEnd) - kSecondLossEnd;
         EXPECT_LT(first, 80000) << "seed " << seed;
         EXPECT_GT(second, 150000) << "seed " << seed;
     }
@@ -143,7 +146,8 @@
     options.zone_failover.flap_suppress_penalty = 100;
     World world(options);
     world.run();
-    EXPECT_LT(first_in(world, "a", ZoneState::returning, kSecondLossEnd), kSecondLossEnd + 80000);
+    EXPECT_LT(first_time_in_state(world, "a", ZoneState::returning, kSecondLossEnd),
+              kSecondLossEnd + 80000);
 }
 
 TEST(ZoneLoss, ConcurrentImageFetchesAreLimitedAfterAReturnWithEmptyCaches) {
@@ -151,8 +155,8 @@
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         World world(cold_return(seed));
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
-        auto [in_zone, on_machine] = most_fetched(world);
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
+        auto [in_zone, on_machine] = max_concurrent_fetches(world);
         EXPECT_GT(in_zone, 0) << "seed " << seed;
         EXPECT_LE(in_zone, 2) << "seed " << seed;
         EXPECT_LE(on_machine, 1) << "seed " << seed;
@@ -161,7 +165,7 @@
             1000;
         World unlimited_world(options);
         unlimited_world.run();
-        unlimited = std::max(unlimited, most_fetched(unlimited_world));
+        unlimited = std::max(unlimited, max_concurrent_fetches(unlimited_world));
     }
     EXPECT_GT(unlimited.first, 2) << "without the limit there must be more concurrent fetches";
 }
@@ -173,10 +177,10 @@
         options.zone_losses = {{40000, 80000, "a"}, {65000, 60000, "b"}};
         World world(options);
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
-        EXPECT_EQ(states_of(world, "a"), kLostOnce) << "seed " << seed;
-        EXPECT_EQ(states_of(world, "b"), kLostOnce) << "seed " << seed;
-        EXPECT_TRUE(states_of(world, "c").empty());
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
+        EXPECT_EQ(zone_states(world, "a"), kLostOnce) << "seed " << seed;
+        EXPECT_EQ(zone_states(world, "b"), kLostOnce) << "seed " << seed;
+        EXPECT_TRUE(zone_states(world, "c").empty());
     }
 }
 
@@ -185,13 +189,13 @@
 std::ptrdiff_t requested_while_lost(bool enabled) {
     Options options = evacuation(2);
     options.zones = {"a"};
-    options.cloud_room = 30;
+    options.cloud_machines_per_option = 30;
     options.zone_failover.enabled = enabled;
     options.zone_losses = {{kLossAt, 90000, "a", 1, true, true, false}};
     options.work.push_back({kLossAt + 5000, "scoring", 60, 1, 4, 20000});
     World world(options);
     world.run();
-    EXPECT_TRUE(world.violations.empty()) << all(world);
+    EXPECT_TRUE(world.violations.empty()) << join_violations(world);
     return std::count_if(world.scale_out_requests.begin(), world.scale_out_requests.end(),
                          [](const auto& scale_out_request) {
                              return scale_out_request.first > kLossAt + 25000 &&
@@ -222,33 +226,33 @@
         GetParam().change(options);
         World world(options);
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << all(world);
+        EXPECT_TRUE(world.violations.empty()) << "seed " << seed << join_violations(world);
         EXPECT_GT(world.started, 15) << "seed " << seed;
     }
 }
 
 const std::vector<ConcurrentEvent> kConcurrentEvents{
-    {"falling_store_limits", [](Options& options) { options.limits_fall_at = kLossAt + 5000; }},
+    {"falling_store_limits", [](Options& options) { options.limits_lowered_at = kLossAt + 5000; }},
     {"a_cloud_without_capacity",
      [](Options& options) {
-         options.cloud_room = 2;
+         options.cloud_machines_per_option = 2;
          options.duration = 500000;
      }},
     {"a_store_outage",
      [](Options& options) {
          options.outage_at = kLossAt + 8000;
-         options.outage_for = 15000;
+         options.outage_duration = 15000;
      }},
     {"cancellations_during_evacuation",
      [](Options& options) { options.work[1].cancel_at = kLossAt + 16000; }},
     {"a_gang_in_both_zones",
      [](Options& options) {
-         options.cloud_room = 8;
+         options.cloud_machines_per_option = 8;
          options.work.push_back({4000, "closing", 2, 8, 4, 40000, JobShape::gang, Priority::high});
      }},
     {"a_gang_in_one_zone",
      [](Options& options) {
-         options.cloud_room = 8;
+         options.cloud_machines_per_option = 8;
          PlannedWork gang{4000, "closing", 2, 4, 4, 40000, JobShape::gang, Priority::high};
          gang.one_zone = true;
          options.work.push_back(gang);
@@ -269,7 +273,8 @@
      }},
     {"leader_changes",
      [](Options& options) {
-         options.leader_ends_at = {kLossAt + 3000, kLossAt + 22000, kLossAt + kLossFor + 20000};
+         options.leader_restarts_at = {kLossAt + 3000, kLossAt + 22000,
+                                       kLossAt + kLossDuration + 20000};
      }},
     {"every_other_fault", [](Options& options) { options.faults = true; }},
 };
@@ -282,16 +287,16 @@
     for (std::uint64_t seed = 1; seed <= 16; ++seed) {
         Options options;
         options.seed = 52000 + seed;
-        options.calm = 200000;
+        options.recovery_period = 200000;
         options.services = 3;
-        options.zone_failover = switched_on();
+        options.zone_failover = failover_enabled();
         options.zone_failover.evacuation_order = {"l1", "l0"};
         options.jobs = 40;
         options.zone_losses = {{30000, 25000, "a", 1, seed % 2 == 0}, {80000, 20000, "b"}};
         World world(options);
         world.run();
-        EXPECT_TRUE(world.violations.empty()) << "seed " << options.seed << all(world);
-        lost += !states_of(world, "a").empty();
+        EXPECT_TRUE(world.violations.empty()) << "seed " << options.seed << join_violations(world);
+        lost += !zone_states(world, "a").empty();
     }
     EXPECT_GT(lost, 4);
 }
@@ -301,16 +306,16 @@
 TEST(ZoneLoss, IsInactiveWhileAControllerRunsAnOldVersion) {
     Options options = evacuation(4);
     options.rollout_at = 1000;
-    options.one_stays_old = true;
+    options.one_controller_stays_old = true;
     World world(options);
     world.run();
-    EXPECT_TRUE(world.violations.empty()) << all(world);
+    EXPECT_TRUE(world.violations.empty()) << join_violations(world);
     EXPECT_TRUE(world.state().history(keys::zone_record("a")).empty());
-    options.one_stays_old = false;
+    options.one_controller_stays_old = false;
     World upgraded(options);
     upgraded.run();
     EXPECT_TRUE(upgraded.violations.empty()) << all(upgraded);
-    EXPECT_EQ(states_of(upgraded, "a"), kLostOnce);
+    EXPECT_EQ(zone_states(upgraded, "a"), kLostOnce);
 }
 
 TEST(ZoneLoss, AMalformedRecordIsTreatedAsUpAndReplaced) {
@@ -319,8 +324,8 @@
     options.stored[keys::zone_record("a")] = "rubbish";
     World world(options);
     world.run();
-    EXPECT_TRUE(world.violations.empty()) << all(world);
-    EXPECT_EQ(states_of(world, "a"), std::vector<ZoneState>{ZoneState::up});
+    EXPECT_TRUE(world.violations.empty()) << join_violations(world);
+    EXPECT_EQ(zone_states(world, "a"), std::vector<ZoneState>{ZoneState::up});
 }
 
 TEST(ZoneLoss, NoRecordIsWrittenWhenDisabled) {
@@ -328,7 +333,7 @@
     options.zone_failover.enabled = false;
     World world(options);
     world.run();
-    EXPECT_TRUE(world.violations.empty()) << all(world);
+    EXPECT_TRUE(world.violations.empty()) << join_violations(world);
     EXPECT_TRUE(world.state().history(keys::zone_record("a")).empty());
 }
 
