--- a/src/coordination/settings/platform_settings.hpp
+++ b/src/coordination/settings/platform_settings.hpp
@@ -27,9 +27,9 @@
 // checks them. Members that end in _s are in seconds. Read-only after the start.
 struct PlatformSettings {
     std::string controller_name;
-    std::string incarnation;  // unique to each start of the process, unlike the controller's name
-    std::string zone;         // zone of this controller; empty if unknown
-    std::string serve_on;     // address for users and workers
+    std::string incarnation;     // random for each start; must not be just the controller's name
+    std::string zone;            // zone of this controller; empty if unknown
+    std::string serve_on;        // address for users and workers
     std::string cluster_listen;  // address for peers
     std::vector<Peer> peers;     // the other controllers
     std::string cloud;           // address of the cloud API
@@ -39,7 +39,7 @@
     std::vector<StartLatencyObjective> start_latency_objectives;
     std::vector<std::string> objective_classes;  // job classes that an objective names
     double report_s = 2;                         // interval of workers' heartbeats
-    double lease_s = 10;      // lease of a worker, which stops its tasks when it expires
+    double lease_s = 10;      // worker lease: a worker without an answer stops its tasks
     double gang_wait_s = 30;  // gang setting of the workers; not used by controllers
     double gang_peer_s = 4;   // gang setting of the workers; not used by controllers
     double cancel_s = 30;     // time limit for the tasks of a cancelled job to stop
