--- a/tests/standin/combined_faults.cpp
+++ b/tests/standin/combined_faults.cpp
@@ -1,4 +1,4 @@
-// Faults of messages and users, and those that join several troubles at one moment.
+// Implements faults of messages and users, and faults that combine several others.
 #include <algorithm>
 
 #include "standin/entities.hpp"
@@ -8,183 +8,190 @@
 namespace walkford::standin {
 
 void FaultInjector::late_writes(std::size_t /*controller*/) {
-    keep_up(world_.active_.late_writes, world_.pick(5000, 30000), 12000);
+    extend_fault(world_.active_.late_writes, world_.random_integer(5000, 30000), 12000);
 }
 
 void FaultInjector::late_reports(std::size_t /*controller*/) {
-    keep_up(world_.active_.late_reports, world_.pick(5000, 30000), 0);
+    extend_fault(world_.active_.late_reports, world_.random_integer(5000, 30000), 0);
 }
 
 void FaultInjector::machines_mute(std::size_t /*controller*/) {
-    Ms until = world_.now_ + world_.pick(3000, 30000);
+    Ms until = world_.now_ + world_.random_integer(3000, 30000);
     for (auto& [name, worker] : world_.workers_) {
         if (world_.chance(0.5)) {
             worker->mute_until = until;
         }
     }
-    troubled_until(until);
+    extend_fault_period(until);
 }
 
 void FaultInjector::mass_cancellation(std::size_t /*controller*/) {
     if (world_.chance(0.6)) {
-        Ms span = world_.pick(1000, 14000);
+        Ms span = world_.random_integer(1000, 14000);
         for (auto& [name, worker] : world_.workers_) {
             if (world_.chance(0.4)) {
-                world_.cut(name, "*", span, true);
+                world_.cut_link(name, "*", span, true);
             }
         }
     }
-    world_.cancel_running(static_cast<std::size_t>(world_.pick(1, 8)), 200);
+    world_.cancel_running(static_cast<std::size_t>(world_.random_integer(1, 8)), 200);
 }
 
 void FaultInjector::cancellation_at_end(std::size_t /*controller*/) {
-    world_.active_.cancellation_at_end = world_.now_ + world_.pick(10000, 30000);
+    world_.active_.cancellation_at_end = world_.now_ + world_.random_integer(10000, 30000);
 }
 
-// One leader after the other, at times in an outage.
+// Restarts the leader repeatedly, sometimes during a store outage.
 void FaultInjector::leaders_end_in_turn(std::size_t /*controller*/) {
-    World& w = world_;
-    if (w.chance(0.4)) {
-        Ms span = w.pick(5000, 40000);
-        w.state_->begin_outage(w.now_, span);
-        troubled_until(w.now_ + span);
-    }
-    for (Ms when = 0; when < 60000; when += w.pick(5000, 9000)) {
-        troubled_until(w.now_ + when);
-        w.at(w.now_ + when, [&w] {
-            auto otherwise = static_cast<std::size_t>(w.pick(0, 2)) % w.o_.controllers;
-            w.restart(w.leader_or(otherwise), 50, 5000);
+    World& world = world_;
+    if (world.chance(0.4)) {
+        Ms span = world.random_integer(5000, 40000);
+        world.state_->begin_outage(world.now_, span);
+        extend_fault_period(world.now_ + span);
+    }
+    for (Ms when = 0; when < 60000; when += world.random_integer(5000, 9000)) {
+        extend_fault_period(world.now_ + when);
+        world.schedule(world.now_ + when, [&world] {
+            auto otherwise =
+                static_cast<std::size_t>(world.random_integer(0, 2)) % world.options_.controllers;
+            world.restart_controller(world.leader_or(otherwise), 50, 5000);
         });
     }
 }
 
-// One is back before the others.
+// All controllers restart; one is back before the others.
 void FaultInjector::all_controllers_away(std::size_t controller) {
-    Ms span = world_.pick(8000, 16000);
-    for (std::size_t k = 0; k < world_.o_.controllers; ++k) {
+    Ms span = world_.random_integer(8000, 16000);
+    for (std::size_t k = 0; k < world_.options_.controllers; ++k) {
         bool first = k == controller;
-        world_.restart(k, span + (first ? 0 : 50), span + (first ? 50 : 6000));
+        world_.restart_controller(k, span + (first ? 0 : 50), span + (first ? 50 : 6000));
     }
-    troubled_until(world_.now_ + span + 6000);
+    extend_fault_period(world_.now_ + span + 6000);
 }
 
-// What runs is cancelled through the next leader while the old one still reaches its workers.
+// Cancels running jobs through the next leader while the old one can still reach its workers.
 void FaultInjector::isolated_leader_and_cancellations(std::size_t controller) {
-    World& w = world_;
-    std::string leader = controller_name(w.leader_or(controller));
-    Ms span = w.pick(5000, 40000);
-    w.cut(leader, "state", span, w.chance(0.3));
-    w.cut(leader, "n*", span, w.chance(0.3));
-    for (Ms when : {w.pick(0, 2000), w.pick(4000, 12000), w.pick(12000, 25000)}) {
-        w.at(w.now_ + when, [&w] { w.cancel_running(3, 500); });
+    World& world = world_;
+    std::string leader = controller_name(world.leader_or(controller));
+    Ms span = world.random_integer(5000, 40000);
+    world.cut_link(leader, "state", span, world.chance(0.3));
+    world.cut_link(leader, "n*", span, world.chance(0.3));
+    for (Ms when : {world.random_integer(0, 2000), world.random_integer(4000, 12000),
+                    world.random_integer(12000, 25000)}) {
+        world.schedule(world.now_ + when, [&world] { world.cancel_running(3, 500); });
     }
 }
 
-// Repeated submissions, cancellations of what is done, jobs that can never run.
+// Repeated submissions, cancellations of finished jobs, and jobs that can never run.
 void FaultInjector::odd_requests(std::size_t /*controller*/) {
-    World& w = world_;
+    World& world = world_;
     for (int n = 0; n < 7; ++n) {
-        w.at(w.now_ + w.pick(0, 10000), [&w] { w.submit_impossible(); });
+        world.schedule(world.now_ + world.random_integer(0, 10000),
+                       [&world] { world.submit_impossible(); });
     }
-    for (const auto& [id, job] : w.jobs_) {
-        if (job->accepted_told < 0) {
+    for (const auto& [id, job] : world.jobs_) {
+        if (job->accepted_reported_at < 0) {
             continue;
         }
-        w.at(w.now_ + w.pick(0, 10000), [&w, id = id] { w.submit(id); });
-        if (job->done_told >= 0) {
-            w.at(w.now_ + w.pick(0, 10000), [&w, id = id] { w.cancel(id); });
+        world.schedule(world.now_ + world.random_integer(0, 10000),
+                       [&world, id = id] { world.submit(id); });
+        if (job->done_reported_at >= 0) {
+            world.schedule(world.now_ + world.random_integer(0, 10000),
+                           [&world, id = id] { world.cancel(id); });
         }
     }
-    troubled_until(w.now_ + 10000);
+    extend_fault_period(world.now_ + 10000);
 }
 
 void FaultInjector::lost_answers(std::size_t /*controller*/) {
-    keep_up(world_.active_.lost_answers, world_.pick(5000, 30000), 0);
+    extend_fault(world_.active_.lost_answers, world_.random_integer(5000, 30000), 0);
 }
 
 void FaultInjector::close_looks(std::size_t /*controller*/) {
-    keep_up(world_.active_.close_looks, world_.pick(10000, 30000), 0);
+    extend_fault(world_.active_.close_looks, world_.random_integer(10000, 30000), 0);
 }
 
 void FaultInjector::late_commands(std::size_t /*controller*/) {
-    keep_up(world_.active_.late_commands, world_.pick(5000, 30000), 16000);
-    // Commands are sent where answers to reports don't do: there must be something to say.
-    world_.cancel_running(static_cast<std::size_t>(world_.pick(1, 4)), 3000);
+    extend_fault(world_.active_.late_commands, world_.random_integer(5000, 30000), 16000);
+    // Direct commands are sent only for changes that cannot wait for a heartbeat response, such as
+    // cancellations.
+    world_.cancel_running(static_cast<std::size_t>(world_.random_integer(1, 4)), 3000);
     if (world_.chance(0.5)) {
         restart_soon(world_.leader_or(0));
     }
 }
 
 void FaultInjector::reports_for_next_leader(std::size_t controller) {
-    World& w = world_;
-    keep_up(w.active_.reports_for_next_leader, w.pick(3000, 12000), 0);
-    Ms when = w.active_.reports_for_next_leader + w.pick(0, 15000);
-    troubled_until(when + 6000);
-    w.at(when, [this, &w, controller] { restart_soon(w.leader_or(controller)); });
+    World& world = world_;
+    extend_fault(world.active_.reports_for_next_leader, world.random_integer(3000, 12000), 0);
+    Ms when = world.active_.reports_for_next_leader + world.random_integer(0, 15000);
+    extend_fault_period(when + 6000);
+    world.schedule(when, [this, &world, controller] { restart_soon(world.leader_or(controller)); });
 }
 
 void FaultInjector::cancellation_in_handover(std::size_t controller) {
-    World& w = world_;
-    restart_soon(w.leader_or(controller));
+    World& world = world_;
+    restart_soon(world.leader_or(controller));
     for (int n = 0; n < 4; ++n) {
-        w.at(w.now_ + w.pick(0, 9000), [&w] {
-            int before = w.cancelled_running;
-            w.cancel_running(2, 300);
-            w.at(w.now_ + 1500,
-                 [&w, before] { w.cancelled_in_handover += w.cancelled_running - before; });
+        world.schedule(world.now_ + world.random_integer(0, 9000), [&world] {
+            int before = world.cancelled_running;
+            world.cancel_running(2, 300);
+            world.schedule(world.now_ + 1500, [&world, before] {
+                world.cancelled_in_handover += world.cancelled_running - before;
+            });
         });
     }
 }
 
 void FaultInjector::limit_and_hanging_machines(std::size_t controller) {
-    World& w = world_;
-    Ms span = w.pick(8000, 20000);
-    for (auto& [name, worker] : w.workers_) {
-        if (w.chance(0.4)) {
-            w.cut(name, "*", span, w.chance(0.5));
+    World& world = world_;
+    Ms span = world.random_integer(8000, 20000);
+    for (auto& [name, worker] : world.workers_) {
+        if (world.chance(0.4)) {
+            world.cut_link(name, "*", span, world.chance(0.5));
         }
     }
-    w.cancel_running(static_cast<std::size_t>(w.pick(2, 6)), 500);
-    w.at(w.now_ + w.pick(200, 4000),
-         [this, &w, controller] { restart_soon(w.leader_or(controller)); });
+    world.cancel_running(static_cast<std::size_t>(world.random_integer(2, 6)), 500);
+    world.schedule(world.now_ + world.random_integer(200, 4000),
+                   [this, &world, controller] { restart_soon(world.leader_or(controller)); });
 }
 
 void FaultInjector::fast_machines_slow_writes(std::size_t controller) {
-    World& w = world_;
-    Ms span = w.pick(8000, 20000);
-    keep_up(w.active_.fast_machines, span, 0);
-    keep_up(w.active_.late_writes, span, 12000);
-    // What has to be replaced is rented anew.
+    World& world = world_;
+    Ms span = world.random_integer(8000, 20000);
+    extend_fault(world.active_.fast_machines, span, 0);
+    extend_fault(world.active_.late_writes, span, 12000);
+    // Lost machines make the scheduler request replacements.
     for (int n = 0; n < 2; ++n) {
         machine_dies(controller);
     }
-    w.at(w.now_ + w.pick(2000, 8000),
-         [this, &w, controller] { restart_soon(w.leader_or(controller)); });
+    world.schedule(world.now_ + world.random_integer(2000, 8000),
+                   [this, &world, controller] { restart_soon(world.leader_or(controller)); });
 }
 
 void FaultInjector::small_job_flood(std::size_t /*controller*/) {
     constexpr int kJobs = 80;
     constexpr Ms kEvery = 250;
     for (int n = 0; n < kJobs; ++n) {
-        world_.at(world_.now_ + n * kEvery, [&w = world_] { w.submit_small_job(); });
+        world_.schedule(world_.now_ + n * kEvery, [&world = world_] { world.submit_small_job(); });
     }
-    troubled_until(world_.now_ + kJobs * kEvery);
+    extend_fault_period(world_.now_ + kJobs * kEvery);
 }
 
 void FaultInjector::zone_loses_machines(std::size_t controller) {
-    World& w = world_;
-    std::string zone = w.zones_[static_cast<std::size_t>(w.pick(0, 1))];
+    World& world = world_;
+    std::string zone = world.zones_[static_cast<std::size_t>(world.random_integer(0, 1))];
     std::vector<std::string> lost;
-    for (const auto& [name, worker] : w.workers_) {
-        if (worker->zone == zone && w.chance(0.6)) {
+    for (const auto& [name, worker] : world.workers_) {
+        if (worker->zone == zone && world.chance(0.6)) {
             lost.push_back(name);
         }
     }
     for (const std::string& name : lost) {
-        w.zone_bound_machines_lost += w.runs_zone_bound_task(name);
-        w.kill_machine(name);
+        world.zone_bound_machines_lost += world.runs_zone_bound_task(name);
+        world.kill_machine(name);
     }
-    if (w.chance(0.3)) {
+    if (world.chance(0.3)) {
         restart_soon(controller);
     }
 }
--- a/tests/standin/zone_loss_scenarios.hpp
+++ b/tests/standin/zone_loss_scenarios.hpp
@@ -1,5 +1,5 @@
-// Days on which a zone of the simulated world is lost, and what their history tells. Tests and the
-// measurement share them.
+// Zone loss scenarios, and queries on the history of their runs. Shared by the tests and the
+// measurement program.
 #pragma once
 
 #include "coordination/zone_failover/zone_record.hpp"
@@ -10,26 +10,27 @@
 inline constexpr Ms kLossAt = 40000;
 inline constexpr Ms kLossDuration = 60000;
 
+// Returns settings with zone failover enabled.
 ZoneFailoverSettings failover_enabled();
 
-// Two zones with little room, three classes alike but for their place in the order, submitted with
-// the last of them first; then zone a is lost.
+// Two zones with little capacity, and three job classes that differ only in their failover order.
+// They are submitted in reverse order; then zone a is lost.
 Options evacuation(std::uint64_t seed);
 
-// More work than the surviving zone holds waits for one that comes back with new machines.
+// More jobs than the surviving zone can hold wait while zone a returns with new machines.
 Options cold_return(std::uint64_t seed);
 
-// When each job that ran in the zone at its loss was first started again: by class.
+// Returns, by job class, when each job that ran in the zone at its loss was next ordered to start.
 std::map<std::string, std::vector<Ms>> restart_times_by_class(const World& world, Ms lost_at,
                                                               const std::string& zone);
 
-// The states of the zone's record, one after the other.
+// Returns the sequence of distinct states in the zone's record.
 std::vector<ZoneState> zone_states(const World& world, const std::string& zone);
 
-// When the zone's record first named the state from then on; kNever: it did not.
+// Returns when the zone's record first had the state at or after `from`; kNever if it did not.
 Ms first_time_in_state(const World& world, const std::string& zone, ZoneState state, Ms from);
 
-// The most images fetched at once in zone a while it returned, in the zone and on a machine.
+// Returns the most concurrent image fetches while zone a returned: in the zone, and on one machine.
 std::pair<int, int> max_concurrent_fetches(const World& world);
 
 }  // namespace walkford::standin
