--- a/tests/scaling_test.cpp
+++ b/tests/scaling_test.cpp
@@ -85,10 +85,10 @@
 // silent; if 3 of 20 do, replacements are requested within the 29 s.
 TEST(Scaling, ReplacesMachinesThatFallSilentTogetherOnlyIfTheyStaySilent) {
     for (std::size_t silent_count : {std::size_t{12}, std::size_t{3}}) {
-        LeaderHarness harness([](LeaderHarness& leader_bench) {
-            leader_bench.operator_settings.mark_low = 0.8;
-            leader_bench.operator_settings.mark_high = 0.95;
-            leader_bench.platform_settings.teams[0].quota = {0, 0, 0};
+        LeaderHarness harness([](LeaderHarness& configured_harness) {
+            configured_harness.operator_settings.mark_low = 0.8;
+            configured_harness.operator_settings.mark_high = 0.95;
+            configured_harness.platform_settings.teams[0].quota = {0, 0, 0};
         });
         std::vector<std::pair<std::string, int>> machines;
         machines.reserve(20);
