--- a/src/coordination/controller/peer_heartbeats.cpp
+++ b/src/coordination/controller/peer_heartbeats.cpp
@@ -51,8 +51,8 @@
     heartbeat.controller = context_.platform_settings.controller_name;
     heartbeat.incarnation = context_.platform_settings.incarnation;
     heartbeat.sequence = sequence_;
-    heartbeat.echo = monitor.last().sequence;
-    heartbeat.echo_incarnation = monitor.last().incarnation;
+    heartbeat.echo = monitor.newest_heartbeat().sequence;
+    heartbeat.echo_incarnation = monitor.newest_heartbeat().incarnation;
     heartbeat.fencing_token = leadership_.known_fencing_token();
     heartbeat.leader = leadership_.known_leader();
     heartbeat.ms_since_store_response = elapsed_since(context_.store.last_served_at(), now);
--- a/src/coordination/controller/reachability.cpp
+++ b/src/coordination/controller/reachability.cpp
@@ -41,7 +41,7 @@
     }
     const auto& monitors = peers_.monitors();
     return std::any_of(monitors.begin(), monitors.end(), [now](const PeerMonitor& monitor) {
-        std::int64_t ms_since_store_response = monitor.last().ms_since_store_response;
+        std::int64_t ms_since_store_response = monitor.newest_heartbeat().ms_since_store_response;
         return monitor.received_within(now, kPeerReportValidFor) && ms_since_store_response >= 0 &&
                ms_since_store_response + (now - monitor.received_at()) < kStoreQuietAfter;
     });
@@ -81,7 +81,8 @@
 bool Reachability::workers_reach_a_peer(Ms now) const {
     const auto& monitors = peers_.monitors();
     return std::any_of(monitors.begin(), monitors.end(), [now](const PeerMonitor& monitor) {
-        std::int64_t ms_since_worker_heartbeat = monitor.last().ms_since_worker_heartbeat;
+        std::int64_t ms_since_worker_heartbeat =
+            monitor.newest_heartbeat().ms_since_worker_heartbeat;
         return monitor.received_within(now, kPeerReportValidFor) &&
                ms_since_worker_heartbeat >= 0 &&
                ms_since_worker_heartbeat < kWorkersReachPeerWithin;
--- a/tests/peer_monitor_test.cpp
+++ b/tests/peer_monitor_test.cpp
@@ -77,7 +77,7 @@
     EXPECT_FALSE(receive_heartbeat(9000, "b", 8800, 5, 100))
         << "an echo of an old heartbeat does not prove that the process is live";
     EXPECT_TRUE(receive_heartbeat(9100, "b", 8900, 9, 100));
-    EXPECT_EQ(peer.last().incarnation, "b");
+    EXPECT_EQ(peer.newest_heartbeat().incarnation, "b");
     EXPECT_FALSE(receive_heartbeat(9200, "a", 1200, 0, 50, ""));
     EXPECT_EQ(peer.responses_covered_until(500, 100), 9000);
 }
@@ -89,7 +89,7 @@
     EXPECT_TRUE(receive_heartbeat(6100, "a", 1000, 0, 50, ""));
     EXPECT_FALSE(receive_heartbeat(7100, "b", 6900, 3, 101, "me before"));
     EXPECT_TRUE(receive_heartbeat(9200, "b", 9000, 3, 101, "me before"));
-    EXPECT_EQ(peer.last().incarnation, "b");
+    EXPECT_EQ(peer.newest_heartbeat().incarnation, "b");
     EXPECT_EQ(peer.responses_covered_until(500, 100), 5000) << "only echoes extend the coverage";
 }
 
