--- a/tests/zone_loss_test.cpp
+++ b/tests/zone_loss_test.cpp
@@ -314,7 +314,7 @@
     options.one_controller_stays_old = false;
     World upgraded(options);
     upgraded.run();
-    EXPECT_TRUE(upgraded.violations.empty()) << all(upgraded);
+    EXPECT_TRUE(upgraded.violations.empty()) << join_violations(upgraded);
     EXPECT_EQ(zone_states(upgraded, "a"), kLostOnce);
 }
 
