--- a/src/protocol/cloud_codec.cpp
+++ b/src/protocol/cloud_codec.cpp
@@ -1,4 +1,4 @@
-// Requests to the cloud and its responses.
+// Encodes requests to the cloud and decodes its responses.
 #include <spdlog/spdlog.h>
 
 #include "protocol/field_names.hpp"
@@ -11,8 +11,8 @@
 
 namespace {
 
-// A page of the list holds up to 500 machines.
-constexpr PackLimits kCloudLimits{std::size_t{1024} * 1024, std::size_t{64} * 1024, 16};
+// Large enough for a page of the machine list, which holds up to 500 machines.
+constexpr UnpackLimits kCloudLimits{std::size_t{1024} * 1024, std::size_t{64} * 1024, 16};
 
 CloudCallStatus status_of(int code) {
     switch (code) {
@@ -31,9 +31,10 @@
     }
 }
 
-// Only this error says for certain that no machine was started; an outage says nothing.
-bool says_no_capacity(const std::optional<Json>& document) {
-    if (!document || !document->is_object() || absent(*document, fields::kError)) {
+// Only this error guarantees that no machine was started. After any other 503 response, machines
+// may have been started.
+bool is_no_capacity_error(const std::optional<Json>& document) {
+    if (!document || !document->is_object() || absent_or_null(*document, fields::kError)) {
         return false;
     }
     const Json& error = (*document)[fields::kError];
@@ -42,15 +43,15 @@
 
 MachineType decode_machine_type(const Json& entry, Names& names) {
     MachineType machine_type;
-    machine_type.id = names.machine_types.intern(text_field(entry, fields::kMachineTypeName));
-    machine_type.size = {decimal_field(entry, fields::kCpus), decimal_field(entry, fields::kGpus),
-                         decimal_field(entry, fields::kMemoryGb)};
-    machine_type.cache_gb = decimal_field(entry, fields::kImageCacheGb);
-    machine_type.fetch_gb_per_s = decimal_field(entry, fields::kImageFetchGbPerS);
-    machine_type.price = decimal_field(entry, fields::kPrice);
+    machine_type.id = names.machine_types.intern(string_field(entry, fields::kMachineTypeName));
+    machine_type.size = {number_field(entry, fields::kCpus), number_field(entry, fields::kGpus),
+                         number_field(entry, fields::kMemoryGb)};
+    machine_type.cache_gb = number_field(entry, fields::kImageCacheGb);
+    machine_type.fetch_gb_per_s = number_field(entry, fields::kImageFetchGbPerS);
+    machine_type.price = number_field(entry, fields::kPrice);
     machine_type.spot_price =
-        absent(entry, fields::kSpotPrice) ? 0 : decimal_field(entry, fields::kSpotPrice);
-    machine_type.boot_s = decimal_field(entry, fields::kBootS);
+        absent_or_null(entry, fields::kSpotPrice) ? 0 : number_field(entry, fields::kSpotPrice);
+    machine_type.boot_s = number_field(entry, fields::kBootS);
     for (const Json& zone : required_field(entry, fields::kZones)) {
         machine_type.zones.push_back(names.zones.intern(zone.get<std::string>()));
     }
@@ -65,24 +66,27 @@
         return CloudMachineState::failed;
     }
     if (state != fields::kMachineRunning) {
-        spdlog::warn("machine status '{}' not known", state);
+        spdlog::warn(
+            "cloud reported an unknown machine status '{}'; treating the machine as running",
+            state);
     }
     return CloudMachineState::running;
 }
 
 CloudMachine decode_machine(const Json& entry) {
     CloudMachine machine;
-    machine.name = text_field(entry, fields::kMachineName);
-    machine.address = absent(entry, fields::kAddress) ? "" : text_field(entry, fields::kAddress);
-    machine.machine_type = text_field(entry, fields::kMachineType);
-    machine.zone = text_field(entry, fields::kZone);
+    machine.name = string_field(entry, fields::kMachineName);
+    machine.address =
+        absent_or_null(entry, fields::kAddress) ? "" : string_field(entry, fields::kAddress);
+    machine.machine_type = string_field(entry, fields::kMachineType);
+    machine.zone = string_field(entry, fields::kZone);
     machine.spot = bool_field(entry, fields::kSpot);
-    machine.age_s = absent(entry, fields::kAgeS) ? 0 : decimal_field(entry, fields::kAgeS);
-    machine.status = decode_machine_state(text_field(entry, fields::kMachineState));
+    machine.age_s = absent_or_null(entry, fields::kAgeS) ? 0 : number_field(entry, fields::kAgeS);
+    machine.status = decode_machine_state(string_field(entry, fields::kMachineState));
     return machine;
 }
 
-// The body of a response to a request that was executed.
+// Decodes the body of a successful response.
 void decode_body(const Json& body, CloudOperation operation, Names& names,
                  CloudResponse& response) {
     switch (operation) {
@@ -152,7 +156,7 @@
         return response;
     }
     auto document = unpack(body, kCloudLimits);
-    if (response.status == CloudCallStatus::unavailable && says_no_capacity(document)) {
+    if (response.status == CloudCallStatus::unavailable && is_no_capacity_error(document)) {
         response.status = CloudCallStatus::no_capacity;
     }
     if (code != 200 || request.operation == CloudOperation::scale_in) {
@@ -164,10 +168,13 @@
         }
         decode_body(*document, request.operation, names, response);
     } catch (const DecodeError& error) {
-        spdlog::warn("answer of the cloud not understood: {}", error.what());
+        spdlog::warn("cannot decode a response of the cloud: {}; treating it as no response",
+                     error.what());
         return no_response(request.call);
     } catch (const Json::exception&) {
-        spdlog::warn("answer of the cloud not understood");
+        spdlog::warn(
+            "cannot decode a response of the cloud: a value has an unexpected type; treating it as "
+            "no response");
         return no_response(request.call);
     }
     return response;
--- a/src/protocol/field_names.hpp
+++ b/src/protocol/field_names.hpp
@@ -1,15 +1,16 @@
-// The words of the wire: paths, field names and values of the four protocols that a controller
-// speaks, each under the domain's term. The platform fixes the spelling; it stands nowhere else.
+// Paths, field names and field values of the four protocols that a controller speaks: with users,
+// workers, the cloud and the store. Each constant is named by the domain term; its value is the
+// spelling that the platform prescribes, which is used nowhere else in the source.
 #pragma once
 
 namespace walkford::protocol {
 
-// What users send to a controller, and what they are answered.
+// Requests of users and the responses to them.
 namespace user_fields {
 inline constexpr const char* kReadyPath = "/ready";
 inline constexpr const char* kJobsPath = "/work";
-inline constexpr const char* kJobPathPrefix = "/work/";      // then the id of the job
-inline constexpr const char* kCancelPathSuffix = "/cancel";  // after the id of the job
+inline constexpr const char* kJobPathPrefix = "/work/";      // followed by the job id
+inline constexpr const char* kCancelPathSuffix = "/cancel";  // follows the job id
 
 inline constexpr const char* kError = "error";
 inline constexpr const char* kJobId = "uid";
@@ -21,8 +22,8 @@
 inline constexpr const char* kCpus = "vcpus";
 inline constexpr const char* kGpus = "gpus";
 inline constexpr const char* kMemoryGb = "ramGb";
-inline constexpr const char* kMachineTypes = "builds";  // the allowed ones; absent: all
-inline constexpr const char* kZone = "yard";            // the only allowed one; absent: any
+inline constexpr const char* kMachineTypes = "builds";  // allowed machine types; absent: all
+inline constexpr const char* kZone = "yard";            // the only allowed zone; absent: any
 inline constexpr const char* kOneZone = "samePlace";
 inline constexpr const char* kSpread = "spread";
 inline constexpr const char* kSpot = "loaners";  // spot instances are allowed
@@ -51,9 +52,9 @@
 inline constexpr const char* kStatusCancelled = "cancelled";
 }  // namespace user_fields
 
-// Heartbeats of workers, and the commands that they are sent.
+// Heartbeats of workers, and the commands sent to workers.
 namespace worker_fields {
-inline constexpr const char* kPathPrefix = "/agent/";  // all requests of workers
+inline constexpr const char* kPathPrefix = "/agent/";  // prefix of all requests of workers
 inline constexpr const char* kHeartbeatPath = "/agent/beat";
 inline constexpr const char* kCommandsPath = "/orders";  // served by the worker
 
@@ -63,9 +64,11 @@
 inline constexpr const char* kZone = "yard";
 inline constexpr const char* kSpot = "loaners";
 inline constexpr const char* kIncarnation = "stint";
-inline constexpr const char* kSequence = "tick";  // of the heartbeat, within the incarnation
+inline constexpr const char* kSequence =
+    "tick";  // sequence number of the heartbeat within the incarnation
 inline constexpr const char* kFencingToken = "baton";
-inline constexpr const char* kReclaimNoticeS = "warningS";  // spot: until the cloud reclaims it
+inline constexpr const char* kReclaimNoticeS =
+    "warningS";  // time until the cloud reclaims the spot machine
 inline constexpr const char* kTasks = "pieces";
 inline constexpr const char* kTask = "piece";  // "<job id>/<index of the task>"
 inline constexpr const char* kAttempt = "try";
@@ -74,7 +77,8 @@
 inline constexpr const char* kProgressSaved = "kept";
 inline constexpr const char* kCommands = "orders";
 inline constexpr const char* kCommand = "verb";
-inline constexpr const char* kGraceS = "leewayS";  // for a checkpoint before the task is killed
+inline constexpr const char* kGraceS =
+    "leewayS";  // time to write a checkpoint before the task is killed
 inline constexpr const char* kLeader = "foreman";
 
 inline constexpr const char* kCommandRun = "run";
@@ -88,13 +92,13 @@
 inline constexpr const char* kTaskExited = "exited";
 }  // namespace worker_fields
 
-// The cloud, which rents out machines.
+// Requests to the cloud, which rents out machines, and its responses.
 namespace cloud_fields {
 inline constexpr const char* kMachineTypesPath = "/flavors";
 inline constexpr const char* kScaleOutPath = "/machines";
 inline constexpr const char* kScaleInPath = "/machines/return";
 inline constexpr const char* kListPath = "/machines?most=500";
-inline constexpr const char* kAfterParameter = "&after=";  // the last name of the page before
+inline constexpr const char* kAfterParameter = "&after=";  // last machine name of the previous page
 
 inline constexpr const char* kError = "error";
 inline constexpr const char* kRequestName = "hire";  // makes a repeated request idempotent
@@ -114,7 +118,7 @@
 inline constexpr const char* kImageCacheGb = "cacheGb";
 inline constexpr const char* kImageFetchGbPerS = "fetchGbPerS";
 inline constexpr const char* kPrice = "price";
-inline constexpr const char* kSpotPrice = "lowPrice";  // absent: no spot instances of the type
+inline constexpr const char* kSpotPrice = "lowPrice";  // absent: the type has no spot instances
 inline constexpr const char* kBootS = "readyS";
 
 inline constexpr const char* kMachineName = "uid";
@@ -128,27 +132,28 @@
 inline constexpr const char* kMachineFailed = "failed";
 }  // namespace cloud_fields
 
-// The consensus-backed key-value store.
+// Requests to the store, a consensus-backed key-value store, and its responses.
 namespace store_fields {
-inline constexpr const char* kKeyPathPrefix = "/keys/";  // then the key
+inline constexpr const char* kKeyPathPrefix = "/keys/";  // followed by the key
 inline constexpr const char* kListPath = "/keys?prefix=";
 inline constexpr const char* kListLimitParameter = "&most=400";
 inline constexpr const char* kChangesPath = "/changes?prefix=";
-inline constexpr const char* kAfterParameter = "&after=";  // a key in a list, else a revision
+inline constexpr const char* kAfterParameter =
+    "&after=";  // a key for a list, a revision for changes
 inline constexpr const char* kWaitMsParameter = "&blockMs=";
 inline constexpr const char* kLeasesPath = "/leases";
-inline constexpr const char* kLeasePathPrefix = "/leases/";  // then the id of the lease
-inline constexpr const char* kRenewPathSuffix = "/touch";    // after the id of the lease
+inline constexpr const char* kLeasePathPrefix = "/leases/";  // followed by the lease id
+inline constexpr const char* kRenewPathSuffix = "/touch";    // follows the lease id
 inline constexpr const char* kTransactionPath = "/txn";
 
 inline constexpr const char* kLeaseTtlMs = "lifeMs";
 inline constexpr const char* kLease = "permit";
 inline constexpr const char* kKey = "k";
 inline constexpr const char* kValue = "value";
-inline constexpr const char* kVersion = "stamp";  // of a key: the revision that wrote it last
+inline constexpr const char* kVersion = "stamp";  // revision of the last write to the key
 inline constexpr const char* kRevision = "ledgerRev";
 inline constexpr const char* kComparisons = "if";
-inline constexpr const char* kFailedComparisons = "failed";  // their keys
+inline constexpr const char* kFailedComparisons = "failed";  // keys of the failed comparisons
 inline constexpr const char* kWrites = "writes";
 inline constexpr const char* kWrittenKey = "write";  // in a transaction and in an event
 inline constexpr const char* kDeletedKey = "drop";   // in a transaction and in an event
--- a/src/protocol/json_fields.cpp
+++ b/src/protocol/json_fields.cpp
@@ -5,9 +5,9 @@
 namespace walkford::protocol {
 
 namespace {
-constexpr double kMaxDecimal = 1e7;
-// Below 2^53: every whole number up to here is exact as a double.
-constexpr double kMaxWholeDecimal = 9e15;
+constexpr double kMaxNumber = 1e7;
+// Below 2^53, so that a double represents every integer up to this limit exactly.
+constexpr double kMaxUnsignedFloat = 9e15;
 }  // namespace
 
 DecodeError DecodeError::missing(const std::string& field_name) {
@@ -28,12 +28,12 @@
     return *found;
 }
 
-bool absent(const Json& map, const char* field) {
+bool absent_or_null(const Json& map, const char* field) {
     auto found = map.find(field);
     return found == map.end() || found->is_null();
 }
 
-std::string text_field(const Json& map, const char* field, std::size_t max_bytes) {
+std::string string_field(const Json& map, const char* field, std::size_t max_bytes) {
     const Json& value = required_field(map, field);
     if (!value.is_string() || value.get_ref<const std::string&>().size() > max_bytes) {
         throw DecodeError::invalid(field);
@@ -41,19 +41,19 @@
     return value.get<std::string>();
 }
 
-double decimal_field(const Json& map, const char* field) {
+double number_field(const Json& map, const char* field) {
     const Json& value = required_field(map, field);
     if (!value.is_number()) {
         throw DecodeError::invalid(field);
     }
     double number = value.get<double>();
-    if (!std::isfinite(number) || number < 0 || number > kMaxDecimal) {
+    if (!std::isfinite(number) || number < 0 || number > kMaxNumber) {
         throw DecodeError::invalid(field);
     }
     return number;
 }
 
-std::uint64_t whole_field(const Json& map, const char* field) {
+std::uint64_t unsigned_field(const Json& map, const char* field) {
     const Json& value = required_field(map, field);
     if (value.is_number_unsigned()) {
         return value.get<std::uint64_t>();
@@ -63,7 +63,7 @@
     }
     if (value.is_number_float()) {
         double number = value.get<double>();
-        bool whole = std::isfinite(number) && number >= 0 && number < kMaxWholeDecimal &&
+        bool whole = std::isfinite(number) && number >= 0 && number < kMaxUnsignedFloat &&
                      number == std::floor(number);
         if (whole) {
             return static_cast<std::uint64_t>(number);
--- a/src/protocol/json_fields.hpp
+++ b/src/protocol/json_fields.hpp
@@ -1,4 +1,5 @@
-// Checked reading of the fields of a decoded message. All functions throw DecodeError.
+// Checked access to the fields of a decoded message. The functions throw DecodeError unless stated
+// otherwise.
 #pragma once
 
 #include <cstdint>
@@ -9,27 +10,26 @@
 
 namespace walkford::protocol {
 
-// Why a message can't be decoded.
+// Why a message cannot be decoded.
 enum class DecodeProblem : std::uint8_t {
     missing_field,
-    invalid_field,  // of the wrong type, or outside the range that is allowed
-    not_a_map,      // the message itself
+    invalid_field,  // of the wrong type or outside the allowed range
+    not_a_map,      // the message itself is not a map
 };
 
-// A message that can't be decoded: the field and what is wrong with it. It is thrown and caught
-// within the codecs; `what()` is the text that a user is answered or that is logged.
+// Reports the field that prevents a message from being decoded, and why. It is thrown and caught
+// within the codecs; `what()` is the text that is sent to the user or logged.
 class DecodeError : public std::runtime_error {
   public:
-    // A field that is required and absent or null.
+    // A required field is absent or null.
     static DecodeError missing(const std::string& field_name);
-    // A field that is present and can't be used.
+    // A field is present but has the wrong type or a value that isn't allowed.
     static DecodeError invalid(const std::string& field_name);
-    // A message that is something other than a map.
+    // The message itself is not a map.
     static DecodeError not_a_map();
 
-    // What is wrong with the field.
     DecodeProblem problem() const { return problem_; }
-    // Empty where the message itself is not a map.
+    // The name of the field; empty if the message itself is not a map.
     const std::string& field() const { return field_; }
 
   private:
@@ -40,22 +40,23 @@
     std::string field_;
 };
 
-// The longest text that is accepted where no other limit is given, in bytes.
-inline constexpr std::size_t kMaxTextBytes = 200;
+// The default limit on the length of a string, in bytes.
+inline constexpr std::size_t kMaxStringBytes = 200;
 
-// The field's value, which must be there and not null.
+// Returns the value of a field that must be present and not null.
 const Json& required_field(const Json& map, const char* field);
-// Whether the field is missing or null.
-bool absent(const Json& map, const char* field);
-// A text of at most `max_bytes`.
-std::string text_field(const Json& map, const char* field, std::size_t max_bytes = kMaxTextBytes);
-// A finite number from 0 to 10,000,000; whole numbers are taken as well as decimals.
-double decimal_field(const Json& map, const char* field);
-// A whole number that isn't negative; decimals without a fraction are taken as well.
-std::uint64_t whole_field(const Json& map, const char* field);
-// A required true or false.
+// Returns whether the field is absent or null. Never throws.
+bool absent_or_null(const Json& map, const char* field);
+// Reads a required string of at most `max_bytes` bytes.
+std::string string_field(const Json& map, const char* field,
+                         std::size_t max_bytes = kMaxStringBytes);
+// Reads a required finite number from 0 to 10,000,000, encoded as an integer or as a float.
+double number_field(const Json& map, const char* field);
+// Reads a required non-negative integer. Floats without a fractional part are accepted as well.
+std::uint64_t unsigned_field(const Json& map, const char* field);
+// Reads a required boolean.
 bool bool_field(const Json& map, const char* field);
-// False where the field is absent or anything other than true; never throws.
+// Returns true only if the field is present and true. Never throws.
 bool optional_flag(const Json& map, const char* field);
 
 }  // namespace walkford::protocol
--- a/src/protocol/messagepack_codec.cpp
+++ b/src/protocol/messagepack_codec.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// False for what is no part of the protocol: binary, extensions, and keys that are no texts.
+// Returns false for types that the protocols do not use: binary data, extensions, and map keys that
+// are not strings.
 bool convert(const msgpack::object& object, Json& out) {
     switch (object.type) {
         case msgpack::type::NIL:
@@ -55,23 +56,23 @@
             return true;
         }
         default:
-            return false;  // binary and extensions are not part of the protocol
+            return false;  // binary data and extensions
     }
 }
 
-void write(msgpack::packer<msgpack::sbuffer>& packer, const Json& value) {
+void pack_value(msgpack::packer<msgpack::sbuffer>& packer, const Json& value) {
     switch (value.type()) {
         case Json::value_t::object:
             packer.pack_map(static_cast<std::uint32_t>(value.size()));
             for (const auto& [key, item] : value.items()) {
                 packer.pack(key);
-                write(packer, item);
+                pack_value(packer, item);
             }
             break;
         case Json::value_t::array:
             packer.pack_array(static_cast<std::uint32_t>(value.size()));
             for (const Json& item : value) {
-                write(packer, item);
+                pack_value(packer, item);
             }
             break;
         case Json::value_t::string:
@@ -97,12 +98,13 @@
 
 }  // namespace
 
-std::optional<Json> unpack(std::string_view body, const PackLimits& limits) {
+std::optional<Json> unpack(std::string_view body, const UnpackLimits& limits) {
     if (body.empty() || body.size() > limits.bytes) {
         return std::nullopt;
     }
     try {
-        // A header may claim 4 GiB of items in five bytes: never more than there are bytes.
+        // A five-byte header may claim 2^32 - 1 items. An item takes at least one byte, so the
+        // number of items is bounded by the size of the body.
         std::size_t items = std::min(limits.items, body.size());
         msgpack::unpack_limit limit(items, items, body.size(), body.size(), body.size(),
                                     limits.depth);
@@ -125,7 +127,7 @@
 std::string pack(const Json& value) {
     msgpack::sbuffer buffer;
     msgpack::packer<msgpack::sbuffer> packer(buffer);
-    write(packer, value);
+    pack_value(packer, value);
     return {buffer.data(), buffer.size()};
 }
 
--- a/src/protocol/messagepack_codec.hpp
+++ b/src/protocol/messagepack_codec.hpp
@@ -1,4 +1,4 @@
-// MessagePack bodies to and from JSON values, with bounds on the memory that a body can claim.
+// Converts MessagePack bodies to and from JSON values, and bounds the memory that a body can claim.
 #pragma once
 
 #include <optional>
@@ -9,16 +9,16 @@
 
 namespace walkford::protocol {
 
-// What a body may hold at most.
-struct PackLimits {
+// Limits on a body to decode.
+struct UnpackLimits {
     std::size_t bytes = std::size_t{64} * 1024;
-    std::size_t items = std::size_t{64} * 1024;  // of one list or map
-    std::size_t depth = 32;                      // of nested lists and maps
+    std::size_t items = std::size_t{64} * 1024;  // in one list or map
+    std::size_t depth = 32;                      // of nesting of lists and maps
 };
 
-// Decodes a body. Nothing where it isn't exactly one well-formed value within the limits, or holds
-// binary data or extensions. Never throws.
-std::optional<Json> unpack(std::string_view body, const PackLimits& limits = {});
+// Decodes a body. Returns nothing if it isn't exactly one well-formed value within the limits, or
+// if it contains binary data, extensions or map keys that are not strings. Never throws.
+std::optional<Json> unpack(std::string_view body, const UnpackLimits& limits = {});
 // Encodes a value as a body.
 std::string pack(const Json& value);
 
--- a/src/protocol/peer_frame.cpp
+++ b/src/protocol/peer_frame.cpp
@@ -7,8 +7,9 @@
 namespace walkford {
 
 namespace {
-// A text whose length is checked before memory is allocated: a frame may claim any length.
-struct ShortText {
+// A string whose length is checked before memory is allocated, because a malformed frame may claim
+// any length.
+struct BoundedString {
     std::string& text;
     static constexpr cereal::size_type kMaxBytes = 512;
 
@@ -22,7 +23,7 @@
         cereal::size_type size = 0;
         archive(cereal::make_size_tag(size));
         if (size > kMaxBytes) {
-            throw std::length_error("text too long");
+            throw std::length_error("string longer than 512 bytes");
         }
         text.resize(static_cast<std::size_t>(size));
         archive(cereal::binary_data(text.data(), text.size()));
@@ -32,7 +33,7 @@
 
 template <class Archive>
 void serialize(Archive& archive, PeerHeartbeat& heartbeat) {
-    ShortText controller{heartbeat.controller}, incarnation{heartbeat.incarnation},
+    BoundedString controller{heartbeat.controller}, incarnation{heartbeat.incarnation},
         echo{heartbeat.echo_incarnation}, leader{heartbeat.leader};
     archive(controller, incarnation, heartbeat.sequence, heartbeat.echo, echo,
             heartbeat.fencing_token, leader, heartbeat.ms_since_store_response, heartbeat.uptime_ms,
@@ -42,15 +43,15 @@
 namespace protocol {
 
 namespace {
-constexpr std::uint32_t kVersion = 3;
+constexpr std::uint32_t kFrameVersion = 3;
 }
 
 std::string encode_frame(const PeerHeartbeat& heartbeat) {
     std::ostringstream stream(std::ios::binary);
     {
         cereal::PortableBinaryOutputArchive archive(stream);
-        PeerHeartbeat copy = heartbeat;  // cereal takes no const object here
-        archive(kVersion, copy);
+        PeerHeartbeat copy = heartbeat;  // serialize() takes a non-const reference
+        archive(kFrameVersion, copy);
     }
     std::string body = stream.str();
     auto size = static_cast<std::uint32_t>(body.size());
@@ -70,7 +71,7 @@
         cereal::PortableBinaryInputArchive archive(stream);
         std::uint32_t version = 0;
         archive(version);
-        if (version != kVersion) {
+        if (version != kFrameVersion) {
             return std::nullopt;
         }
         PeerHeartbeat heartbeat;
--- a/src/protocol/peer_frame.hpp
+++ b/src/protocol/peer_frame.hpp
@@ -1,4 +1,4 @@
-// The frames that controllers send one another: cereal archives with a version and a size limit.
+// Frames that controllers send to each other: cereal archives with a version and a size limit.
 #pragma once
 
 #include <optional>
@@ -9,13 +9,13 @@
 
 namespace walkford::protocol {
 
-// The largest frame that is accepted, without its length.
+// The largest accepted frame, not counting its length prefix.
 inline constexpr std::size_t kMaxFrameBytes = 4096;
 
-// The frame behind its length (4 bytes, big endian).
+// Encodes a frame, preceded by its length (4 bytes, big endian).
 std::string encode_frame(const PeerHeartbeat& heartbeat);
-// Decodes a frame without its length. Nothing where it is too large, malformed or of another
-// version.
+// Decodes a frame without its length prefix. Returns nothing if the frame is too large, malformed
+// or of another version.
 std::optional<PeerHeartbeat> decode_frame(std::string_view frame);
 
 }  // namespace walkford::protocol
--- a/src/protocol/properties_file.cpp
+++ b/src/protocol/properties_file.cpp
@@ -16,17 +16,17 @@
 
 using Poco::Util::PropertyFileConfiguration;
 
-// A property that is a number, a count or a switch (0 or 1).
+// A property that is a number, a count or a flag (0 or 1).
 struct Number {
     std::variant<double*, std::uint32_t*, bool*> target;
-    double least;
-    double most;
+    double min;
+    double max;
 };
 
 // A property that is one of several words.
 template <typename Value>
 struct Choice {
-    // How the properties spell a value.
+    // A value and the word for it in a properties file.
     struct Spelling {
         const char* word;
         Value value;
@@ -35,7 +35,7 @@
     std::vector<Spelling> spellings;
 };
 
-// A property that is a list of different names, divided by commas.
+// A property that is a comma-separated list of distinct names.
 struct NameList {
     std::vector<std::string>* target;
 };
@@ -43,25 +43,25 @@
 using Property = std::variant<Number, Choice<ScaleOrder>, Choice<PlaceOrder>, NameList>;
 using Properties = std::map<std::string, Property>;
 
-constexpr double kHour = 3600;
-constexpr double kDay = 86400;
+constexpr double kHourS = 3600;
+constexpr double kDayS = 86400;
 
 void add_scaling(OperatorSettings& settings, Properties& table) {
     table.insert({
         {"scale.mark.low", Number{&settings.mark_low, 0, 1}},
         {"scale.mark.high", Number{&settings.mark_high, 0, 1}},
-        {"scale.out.interval_s", Number{&settings.out_interval_s, 0.1, kHour}},
-        {"scale.in.interval_s", Number{&settings.in_interval_s, 0.1, kHour}},
+        {"scale.out.interval_s", Number{&settings.out_interval_s, 0.1, kHourS}},
+        {"scale.in.interval_s", Number{&settings.in_interval_s, 0.1, kHourS}},
         {"scale.cap_per_kind", Number{&settings.max_per_machine_type, 0, 10000}},
         {"scale.permanent.first", Number{&settings.permanent_first, 0, 50}},
         {"scale.order",
          Choice<ScaleOrder>{&settings.order,
                             {{"cost", ScaleOrder::cost}, {"cores", ScaleOrder::cores}}}},
         {"scale.unplaceable", Number{&settings.scale_out_unplaceable, 0, 1}},
-        {"scale.unplaceable.after_s", Number{&settings.unplaceable_after_s, 0, kHour}},
+        {"scale.unplaceable.after_s", Number{&settings.unplaceable_after_s, 0, kHourS}},
         {"scale.spot", Number{&settings.prefer_spot, 0, 1}},
         {"scale.idle_cost", Number{&settings.max_idle_cost, 0, 1e6}},
-        {"scale.no_capacity_backoff_s", Number{&settings.no_capacity_backoff_s, 0.5, kHour}},
+        {"scale.no_capacity_backoff_s", Number{&settings.no_capacity_backoff_s, 0.5, kHourS}},
     });
 }
 
@@ -69,9 +69,9 @@
     table.insert({
         {"machines.boot.give_up", Number{&settings.boot_timeout_factor, 1, 100}},
         {"machines.boot.late", Number{&settings.boot_late_factor, 1, 100}},
-        {"machines.lost_return_s", Number{&settings.silent_release_s, 0, kHour}},
-        {"machines.unseen_return_s", Number{&settings.unreported_release_s, 1, kHour}},
-        {"machines.deaf_return_s", Number{&settings.unacknowledged_release_s, 1, kHour}},
+        {"machines.lost_return_s", Number{&settings.silent_release_s, 0, kHourS}},
+        {"machines.unseen_return_s", Number{&settings.unreported_release_s, 1, kHourS}},
+        {"machines.deaf_return_s", Number{&settings.unacknowledged_release_s, 1, kHourS}},
         {"workers.settle_s", Number{&settings.response_hold_s, 0, 2}},
         {"workers.idle_hold_s", Number{&settings.idle_response_hold_s, 0, 3}},
         {"leader.lease_s", Number{&settings.lease_ttl_s, 0.5, 600}},
@@ -82,16 +82,16 @@
 void add_placement(OperatorSettings& settings, Properties& table) {
     table.insert({
         {"place.round_budget_ms", Number{&settings.round_budget_ms, 0.1, 1000}},
-        {"place.regret_s", Number{&settings.opportunity_cost_s, 0, kHour}},
+        {"place.regret_s", Number{&settings.opportunity_cost_s, 0, kHourS}},
         {"place.order",
          Choice<PlaceOrder>{&settings.place_order,
                             {{"aim", PlaceOrder::start_deadline}, {"age", PlaceOrder::age}}}},
         {"place.keep_slots", Number{&settings.keep_slots, 0, 1000}},
         {"place.preempt", Number{&settings.preempt, 0, 1}},
-        {"place.preempt.after_s", Number{&settings.preempt_after_s, 0, kHour}},
-        {"place.rise_s", Number{&settings.priority_aging_s, 0, kDay}},
+        {"place.preempt.after_s", Number{&settings.preempt_after_s, 0, kHourS}},
+        {"place.rise_s", Number{&settings.priority_aging_s, 0, kDayS}},
         {"place.gather", Number{&settings.max_reserving_gangs, 0, 1000}},
-        {"place.gather.after_s", Number{&settings.reserve_after_s, 0, kHour}},
+        {"place.gather.after_s", Number{&settings.reserve_after_s, 0, kHourS}},
     });
 }
 
@@ -103,25 +103,25 @@
         {"zone_failover.recover_share", Number{&settings.recover_share, 0, 1}},
         {"zone_failover.lost_share", Number{&settings.lost_share, 0.01, 1}},
         {"zone_failover.least_machines", Number{&settings.least_machines, 1, 10000}},
-        {"zone_failover.confirm_s", Number{&settings.confirm_s, 0.5, kHour}},
-        {"zone_failover.return_s", Number{&settings.return_s, 0, kHour}},
-        {"zone_failover.probe_s", Number{&settings.probe_s, 1, kHour}},
-        {"zone_failover.flap.half_life_s", Number{&settings.flap_half_life_s, 1, kDay}},
+        {"zone_failover.confirm_s", Number{&settings.confirm_s, 0.5, kHourS}},
+        {"zone_failover.return_s", Number{&settings.return_s, 0, kHourS}},
+        {"zone_failover.probe_s", Number{&settings.probe_s, 1, kHourS}},
+        {"zone_failover.flap.half_life_s", Number{&settings.flap_half_life_s, 1, kDayS}},
         {"zone_failover.flap.suppress", Number{&settings.flap_suppress, 0.1, 100}},
         {"zone_failover.flap.reuse", Number{&settings.flap_reuse, 0.01, 100}},
         {"zone_failover.flap.most", Number{&settings.flap_most, 1, 100}},
-        {"zone_failover.ramp.span_s", Number{&settings.ramp_s, 1, kHour}},
+        {"zone_failover.ramp.span_s", Number{&settings.ramp_s, 1, kHourS}},
         {"zone_failover.ramp.first_share", Number{&settings.ramp_first_share, 0.001, 1}},
         {"zone_failover.ramp.fetches_per_machine", Number{&settings.fetches_per_machine, 1, 1000}},
         {"zone_failover.ramp.fetches_per_zone", Number{&settings.fetches_per_zone, 1, 100000}},
         {"zone_failover.ramp.replicas", Number{&settings.replicas, 1, 100000}},
         {"zone_failover.ramp.probe_machines", Number{&settings.probe_machines, 1, 1000}},
-        {"zone_failover.hold_s", Number{&settings.hold_s, 0, kHour}},
-        {"zone_failover.wait_most_s", Number{&settings.wait_most_s, 0, kHour}},
+        {"zone_failover.hold_s", Number{&settings.hold_s, 0, kHourS}},
+        {"zone_failover.wait_most_s", Number{&settings.wait_most_s, 0, kHourS}},
     });
 }
 
-// All properties by name, each with the field of `settings` that it sets.
+// Returns all properties by name, each with the field of `settings` that it sets.
 Properties properties_of(OperatorSettings& settings) {
     Properties table;
     add_scaling(settings, table);
@@ -131,11 +131,11 @@
     return table;
 }
 
-// Where a value came from, for what is said of it.
+// The file and the name of a property, for error messages.
 struct Source {
     std::string path;
     std::string name;
-    std::string where() const { return "properties " + path + ": " + name; }
+    std::string describe() const { return "properties " + path + ": " + name; }
 };
 
 void assign(const Number& number, const Source& source, const PropertyFileConfiguration& file) {
@@ -143,11 +143,11 @@
     try {
         value = file.getDouble(source.name);
     } catch (const Poco::Exception&) {
-        throw SettingsError(source.where() + ": must be a number");
+        throw SettingsError(source.describe() + ": must be a number");
     }
-    if (!(value >= number.least && value <= number.most)) {
+    if (!(value >= number.min && value <= number.max)) {
         std::ostringstream range;
-        range << source.where() << ": must be from " << number.least << " to " << number.most;
+        range << source.describe() << ": must be from " << number.min << " to " << number.max;
         throw SettingsError(range.str());
     }
     std::visit(
@@ -165,7 +165,7 @@
             return;
         }
     }
-    throw SettingsError(source.where() + ": must be " + choice.spellings.front().word + " or " +
+    throw SettingsError(source.describe() + ": must be " + choice.spellings.front().word + " or " +
                         choice.spellings.back().word);
 }
 
@@ -173,24 +173,25 @@
     std::string text = file.getString(source.name);
     Poco::StringTokenizer items(text, ",", Poco::StringTokenizer::TOK_TRIM);
     std::vector<std::string> names(items.begin(), items.end());
-    bool none = names.size() == 1 && names.front().empty();
-    if (none) {
+    bool is_empty = names.size() == 1 && names.front().empty();
+    if (is_empty) {
         names.clear();
     }
     for (auto name = names.begin(); name != names.end(); ++name) {
         if (name->empty()) {
-            throw SettingsError(source.where() + ": a name is empty");
+            throw SettingsError(source.describe() + ": contains an empty name");
         }
         if (std::find(names.begin(), name, *name) != name) {
-            throw SettingsError(source.where() + ": '" + *name + "' is named twice");
+            throw SettingsError(source.describe() + ": contains '" + *name + "' more than once");
         }
     }
     *list.target = std::move(names);
 }
 
-// Appends the full names of all properties in the file that begin with `base`.
-void collect(const PropertyFileConfiguration& file, const std::string& base,
-             std::vector<std::string>& names) {
+// Appends the full names of all properties below `base` in the file, or of all properties if `base`
+// is empty.
+void collect_property_names(const PropertyFileConfiguration& file, const std::string& base,
+                            std::vector<std::string>& names) {
     PropertyFileConfiguration::Keys keys;
     file.keys(base, keys);
     for (const std::string& key : keys) {
@@ -198,13 +199,13 @@
         if (file.hasProperty(full)) {
             names.push_back(full);
         }
-        collect(file, full, names);
+        collect_property_names(file, full, names);
     }
 }
 
 Poco::AutoPtr<PropertyFileConfiguration> open_file(const std::string& path) {
     if (!std::ifstream(path, std::ios::binary)) {
-        throw SettingsError("properties: can't read " + path);
+        throw SettingsError("properties: cannot read file " + path);
     }
     try {
         return new PropertyFileConfiguration(path);
@@ -213,9 +214,10 @@
     }
 }
 
-using FileOfProperty = std::map<std::string, std::string>;  // property -> the file that set it
+using FileOfProperty =
+    std::map<std::string, std::string>;  // property name -> path of the file that set it
 
-// Two values of which the first must be below the second.
+// Throws if the first value is not below the second.
 void require_below(double low, double high, const std::string& low_name,
                    const std::string& high_name, const FileOfProperty& set_by) {
     if (low < high) {
@@ -226,7 +228,8 @@
     throw SettingsError(where + ": " + low_name + ": must be below " + high_name);
 }
 
-// Properties that are allowed by themselves may still contradict each other.
+// Checks constraints between properties. Values that are valid on their own may contradict each
+// other.
 void check_consistency(const OperatorSettings& settings, const FileOfProperty& set_by) {
     require_below(settings.mark_low, settings.mark_high, "scale.mark.low", "scale.mark.high",
                   set_by);
@@ -247,17 +250,17 @@
                 std::vector<std::string>& notes) {
     auto file = open_file(path);
     std::vector<std::string> names;
-    collect(*file, "", names);
+    collect_property_names(*file, "", names);
     for (const std::string& name : names) {
         Source source{path, name};
         auto found = table.find(name);
         if (found == table.end()) {
-            throw SettingsError(source.where() + ": no such property");
+            throw SettingsError(source.describe() + ": unknown property");
         }
         std::visit([&](const auto& property) { assign(property, source, *file); }, found->second);
         auto [earlier, inserted] = set_by.try_emplace(name, path);
         if (!inserted && earlier->second != path) {
-            notes.push_back(name + ": " + path + " counts, not " + earlier->second);
+            notes.push_back(name + ": " + path + " overrides the value from " + earlier->second);
             earlier->second = path;
         }
     }
@@ -290,10 +293,12 @@
                           const PlatformSettings& platform_settings,
                           std::vector<std::string>& notes) {
     for (const std::string& name : operator_settings.zone_failover.order) {
-        bool known = std::find(platform_settings.classes.begin(), platform_settings.classes.end(),
-                               name) != platform_settings.classes.end();
-        if (!known) {
-            notes.push_back("zone_failover.order: no objective names the class '" + name + "'");
+        bool is_known =
+            std::find(platform_settings.classes.begin(), platform_settings.classes.end(), name) !=
+            platform_settings.classes.end();
+        if (!is_known) {
+            notes.push_back("zone_failover.order: class '" + name +
+                            "' is not named by any objective");
         }
     }
 }
--- a/src/protocol/properties_file.hpp
+++ b/src/protocol/properties_file.hpp
@@ -1,4 +1,4 @@
-// The operators' own settings: Java-style property files, checked.
+// Reads and validates the operators' settings, which are Java-style properties files.
 #pragma once
 
 #include <string>
@@ -9,15 +9,16 @@
 
 namespace walkford::protocol {
 
-// Reads the files in order; where two set the same property, the later one counts, and `notes` says
-// so. Throws SettingsError with the file and the field.
+// Reads the files in order. If two files set the same property, the later one takes precedence and
+// a line is appended to `notes`. Throws a SettingsError that names the file and the property.
 OperatorSettings load_operator_settings(const std::vector<std::string>& paths,
                                         std::vector<std::string>& notes);
 
-// All properties there are.
+// The names of all known properties.
 std::vector<std::string> property_names();
 
-// Classes of jobs that the properties name and no objective does: accepted, as classes come and go.
+// Appends a line to `notes` for each job class that the properties name but no objective does. Such
+// a class is not an error, because job classes are added and removed over time.
 void note_unknown_classes(const OperatorSettings& operator_settings,
                           const PlatformSettings& platform_settings,
                           std::vector<std::string>& notes);
--- a/src/protocol/settings_file.cpp
+++ b/src/protocol/settings_file.cpp
@@ -13,12 +13,13 @@
 
 namespace {
 
-constexpr double kMaxShare = 1e9;  // cores or GPUs of a team
-constexpr double kMaxRate = 1e9;   // requests a second
+constexpr double kMaxTeamResources = 1e9;  // cores or GPUs of a team
+constexpr double kMaxRate = 1e9;           // requests per second
 constexpr double kMaxPeriodS = 86400;
 
-// One object of the settings, with its path for error messages. Every getter throws SettingsError
-// that names the field, where the field is missing or has a value that isn't allowed.
+// Reads the fields of one object of the settings, and knows its path for error messages. Every
+// getter throws a SettingsError that names the field if the field is missing or its value is not
+// allowed.
 class SettingsReader {
   public:
     SettingsReader(const Json& value, std::string path) : value_(value), path_(std::move(path)) {
@@ -26,19 +27,19 @@
             throw SettingsError(path_ + ": must be an object");
         }
     }
-    SettingsReader child(const char* name) const { return {at(name), where(name)}; }
+    SettingsReader child(const char* name) const { return {at(name), field_path(name)}; }
 
     std::string text(const char* name) const {
         const Json& value = at(name);
         if (!value.is_string() || value.get_ref<const std::string&>().empty()) {
-            throw SettingsError(where(name) + ": must be a text that isn't empty");
+            throw SettingsError(field_path(name) + ": must be a non-empty string");
         }
         return value.get<std::string>();
     }
 
     std::string text_or_empty(const char* name) const { return has(name) ? text(name) : ""; }
 
-    // "host:port".
+    // Reads an address of the form "host:port".
     std::string address(const char* name) const {
         constexpr std::size_t kMaxPortDigits = 5;
         constexpr int kMaxPort = 65535;
@@ -48,38 +49,38 @@
                         address.size() - colon <= kMaxPortDigits + 1 &&
                         address.find_first_not_of("0123456789", colon + 1) == std::string::npos;
         if (!has_port || std::stoi(address.substr(colon + 1)) > kMaxPort) {
-            throw SettingsError(where(name) + ": must be address:port");
+            throw SettingsError(field_path(name) + ": must be address:port");
         }
         return address;
     }
 
-    double number(const char* name, double least, double most) const {
+    double number(const char* name, double min, double max) const {
         const Json& value = at(name);
         if (!value.is_number()) {
-            throw SettingsError(where(name) + ": must be a number");
+            throw SettingsError(field_path(name) + ": must be a number");
         }
         double number = value.get<double>();
-        if (!std::isfinite(number) || number < least || number > most) {
+        if (!std::isfinite(number) || number < min || number > max) {
             std::ostringstream message;
-            message << where(name) << ": must be from " << least << " to " << most;
+            message << field_path(name) << ": must be from " << min << " to " << max;
             throw SettingsError(message.str());
         }
         return number;
     }
 
-    double number_or(const char* name, double fallback, double least, double most) const {
-        return has(name) ? number(name, least, most) : fallback;
+    double number_or(const char* name, double fallback, double min, double max) const {
+        return has(name) ? number(name, min, max) : fallback;
     }
 
     const Json& list(const char* name) const {
         const Json& value = at(name);
         if (!value.is_array()) {
-            throw SettingsError(where(name) + ": must be a list");
+            throw SettingsError(field_path(name) + ": must be an array");
         }
         return value;
     }
 
-    // Calls `read` with a reader for each object of the list.
+    // Calls `read` with a SettingsReader for each object of the array.
     template <typename Read>
     void for_each(const char* name, Read read) const {
         const Json& items = list(name);
@@ -90,19 +91,19 @@
 
     bool has(const char* name) const { return value_.contains(name) && !value_[name].is_null(); }
 
-    // The full path of a field, and of an item of a list.
-    std::string where(const std::string& name) const {
+    // The full paths of a field and of an array item, for error messages.
+    std::string field_path(const std::string& name) const {
         return path_.empty() ? name : path_ + "." + name;
     }
     std::string item_path(const char* name, std::size_t index) const {
-        return where(name) + "[" + std::to_string(index) + "]";
+        return field_path(name) + "[" + std::to_string(index) + "]";
     }
 
   private:
     const Json& at(const char* name) const {
         auto found = value_.find(name);
         if (found == value_.end() || found->is_null()) {
-            throw SettingsError(where(name) + ": missing");
+            throw SettingsError(field_path(name) + ": required field is missing");
         }
         return *found;
     }
@@ -111,17 +112,17 @@
     std::string path_;
 };
 
-// Fields that are absent are taken from `fallback`, which is null where every field is required.
+// Takes absent fields from `fallback`. If `fallback` is null, every field is required.
 StoreLimits read_store_limits(const SettingsReader& state, const StoreLimits* fallback) {
-    auto limit = [&](const char* name, double StoreLimits::*field, double least, double most) {
-        return fallback ? state.number_or(name, fallback->*field, least, most)
-                        : state.number(name, least, most);
+    auto limit = [&](const char* name, double StoreLimits::*field, double min, double max) {
+        return fallback ? state.number_or(name, fallback->*field, min, max)
+                        : state.number(name, min, max);
     };
     StoreLimits limits;
     limits.requests_per_s = limit("rps", &StoreLimits::requests_per_s, 1, kMaxRate);
     limits.writes_per_s = limit("write_rps", &StoreLimits::writes_per_s, 0.5, kMaxRate);
     limits.value_kb = limit("value_kb", &StoreLimits::value_kb, 0.5, 1e6);
-    constexpr double kMinOperations = 3;  // the largest of the writes that can't be split
+    constexpr double kMinOperations = 3;  // size of the largest transaction that cannot be split
     constexpr double kMaxOperations = 1e6;
     double operations = fallback ? state.number_or("txn_ops", fallback->transaction_operations,
                                                    kMinOperations, kMaxOperations)
@@ -130,7 +131,7 @@
     return limits;
 }
 
-// Name, zone and addresses of this controller, and its peers.
+// Reads the name, zone and addresses of this controller, and its peers.
 void read_controllers(const SettingsReader& top, PlatformSettings& settings) {
     settings.controller_name = top.text("node_name");
     if (top.has("location")) {
@@ -147,11 +148,11 @@
 void read_zones(const SettingsReader& params, PlatformSettings& settings) {
     const Json& zones = params.list("zones");
     if (zones.empty()) {
-        throw SettingsError(params.where("zones") + ": must name a zone");
+        throw SettingsError(params.field_path("zones") + ": must contain at least one zone");
     }
     for (std::size_t i = 0; i < zones.size(); ++i) {
         if (!zones[i].is_string()) {
-            throw SettingsError(params.item_path("zones", i) + ": must be a text");
+            throw SettingsError(params.item_path("zones", i) + ": must be a string");
         }
         settings.zones.push_back(zones[i].get<std::string>());
     }
@@ -160,10 +161,10 @@
 Team read_team(const SettingsReader& reader) {
     Team team;
     team.name = reader.text("name");
-    team.guaranteed_share = {reader.number_or("cpus", 0, 0, kMaxShare),
-                             reader.number_or("gpus", 0, 0, kMaxShare), 0};
-    team.quota = {reader.number_or("cpus_max", 0, 0, kMaxShare),
-                  reader.number_or("gpus_max", 0, 0, kMaxShare), 0};
+    team.guaranteed_share = {reader.number_or("cpus", 0, 0, kMaxTeamResources),
+                             reader.number_or("gpus", 0, 0, kMaxTeamResources), 0};
+    team.quota = {reader.number_or("cpus_max", 0, 0, kMaxTeamResources),
+                  reader.number_or("gpus_max", 0, 0, kMaxTeamResources), 0};
     return team;
 }
 
@@ -172,7 +173,7 @@
         Team team = read_team(reader);
         for (const Team& other : settings.teams) {
             if (other.name == team.name) {
-                throw SettingsError(reader.where("name") + ": named twice");
+                throw SettingsError(reader.field_path("name") + ": duplicate team name");
             }
         }
         settings.teams.push_back(std::move(team));
@@ -182,7 +183,7 @@
 void read_objective(const SettingsReader& objective, PlatformSettings& settings,
                     std::vector<std::string>& notes) {
     constexpr const char* kStartLatency = "wait";
-    constexpr std::array<std::string_view, 3> kOthers{"finished", "deadline", "guarantee"};
+    constexpr std::array<std::string_view, 3> kOtherMeasures{"finished", "deadline", "guarantee"};
     constexpr double kMaxLatencyS = 1e9;
     std::string measure = objective.text("kind");
     if (objective.has("class")) {
@@ -191,8 +192,10 @@
     if (measure == kStartLatency) {
         settings.start_latency_objectives.push_back(
             {objective.text("class"), objective.number("within_s", 0, kMaxLatencyS)});
-    } else if (std::find(kOthers.begin(), kOthers.end(), measure) == kOthers.end()) {
-        notes.push_back(objective.where("kind") + ": '" + measure + "' is not known and ignored");
+    } else if (std::find(kOtherMeasures.begin(), kOtherMeasures.end(), measure) ==
+               kOtherMeasures.end()) {
+        notes.push_back(objective.field_path("kind") + ": unknown kind '" + measure +
+                        "' is ignored");
     }
 }
 
@@ -213,7 +216,7 @@
     settings.gang_peer_s = workers.number("gang_peer_s", 0, kMaxPeriodS);
     settings.cancel_s = workers.number("cancel_s", 0.1, kMaxPeriodS);
     if (settings.lease_s <= settings.report_s) {
-        throw SettingsError(workers.where("lease_s") + ": must be longer than report_s");
+        throw SettingsError(workers.field_path("lease_s") + ": must be longer than report_s");
     }
 }
 
@@ -229,8 +232,9 @@
     settings.list_lag_s = cloud.number("list_lag_s", 0, kMaxPeriodS);
 }
 
-// Limits of the machine that this controller runs on. A small machine is served all the same; but
-// whoever looks for the cause of slow service should find a line in the log.
+// Reads the limits of the machine that this controller runs on. The controller also runs on a
+// machine below the recommended limits; the notes help to find the cause of slow service in the
+// log.
 void read_machine_limits(const SettingsReader& limits, PlatformSettings& settings,
                          std::vector<std::string>& notes) {
     constexpr double kUnlimitedRamMb = 1e6;
@@ -243,8 +247,8 @@
             return;
         }
         std::ostringstream note;
-        note << limits.where(name) << ": " << value << " is little, " << recommended
-             << " or more is needed to serve well";
+        note << limits.field_path(name) << ": " << value << " is below the recommended minimum of "
+             << recommended;
         notes.push_back(note.str());
     };
     note_if_below("fd_limit", settings.fd_limit,
@@ -258,7 +262,7 @@
                                         std::vector<std::string>& notes) {
     Json document = Json::parse(json_text, nullptr, false);
     if (document.is_discarded()) {
-        throw SettingsError("settings: not JSON");
+        throw SettingsError("settings: not valid JSON");
     }
     SettingsReader top(document, "");
     PlatformSettings settings;
@@ -284,7 +288,7 @@
     std::ostringstream text;
     text << file.rdbuf();
     if (!file || file.bad()) {
-        throw SettingsError("settings: can't read " + path);
+        throw SettingsError("settings: cannot read file " + path);
     }
     return read_platform_settings(text.str(), notes);
 }
--- a/src/protocol/settings_file.hpp
+++ b/src/protocol/settings_file.hpp
@@ -1,4 +1,4 @@
-// The platform's JSON settings, checked.
+// Reads and validates the platform settings, which are JSON.
 #pragma once
 
 #include <stdexcept>
@@ -9,17 +9,17 @@
 
 namespace walkford::protocol {
 
-// Settings that can't be used. `what()` is one line that names the file or the field.
+// Invalid settings. `what()` is one line that names the file or the field.
 struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// Reads the platform's settings from their JSON text. Appends to `notes` a line for each value that
-// is ignored or that is accepted but too small; they are to be logged once logging works. Throws
-// SettingsError.
+// Parses the platform settings from JSON text. Appends a line to `notes` for each value that is
+// ignored, or accepted although it is below the recommended minimum. The caller logs the notes once
+// logging is configured. Throws SettingsError.
 PlatformSettings read_platform_settings(const std::string& json_text,
                                         std::vector<std::string>& notes);
-// The same, from a file.
+// Reads the platform settings from a file. See read_platform_settings().
 PlatformSettings load_platform_settings(const std::string& path, std::vector<std::string>& notes);
 
 }  // namespace walkford::protocol
--- a/src/protocol/store_codec.cpp
+++ b/src/protocol/store_codec.cpp
@@ -1,4 +1,4 @@
-// Requests to the state service and its responses.
+// Encodes requests to the store and decodes its responses.
 #include <spdlog/spdlog.h>
 
 #include "protocol/field_names.hpp"
@@ -11,8 +11,8 @@
 
 namespace {
 
-// A page of a list holds up to 400 values.
-constexpr PackLimits kStoreLimits{std::size_t{8} * 1024 * 1024, std::size_t{1024} * 1024, 32};
+// Large enough for a page of a list, which holds up to 400 values.
+constexpr UnpackLimits kStoreLimits{std::size_t{8} * 1024 * 1024, std::size_t{1024} * 1024, 32};
 
 Json encode_write(const Write& write) {
     if (!write.value) {
@@ -81,36 +81,36 @@
 }
 
 StoreEntry decode_row(const Json& row) {
-    return {text_field(row, fields::kKey), required_field(row, fields::kValue),
-            whole_field(row, fields::kVersion)};
+    return {string_field(row, fields::kKey), required_field(row, fields::kValue),
+            unsigned_field(row, fields::kVersion)};
 }
 
 void decode_event(const Json& event, StoreResponse& response) {
-    if (!absent(event, fields::kWrittenKey)) {
-        response.rows.push_back({text_field(event, fields::kWrittenKey),
+    if (!absent_or_null(event, fields::kWrittenKey)) {
+        response.rows.push_back({string_field(event, fields::kWrittenKey),
                                  required_field(event, fields::kValue),
-                                 whole_field(event, fields::kVersion)});
-    } else if (!absent(event, fields::kDeletedKey)) {
-        response.rows.push_back({text_field(event, fields::kDeletedKey), std::nullopt,
-                                 whole_field(event, fields::kVersion)});
+                                 unsigned_field(event, fields::kVersion)});
+    } else if (!absent_or_null(event, fields::kDeletedKey)) {
+        response.rows.push_back({string_field(event, fields::kDeletedKey), std::nullopt,
+                                 unsigned_field(event, fields::kVersion)});
     } else {
-        spdlog::warn("unknown event from the state service ignored");
+        spdlog::warn("store sent an event that is neither a write nor a deletion; ignoring it");
     }
 }
 
-// What a response says whatever its status is.
+// Decodes the fields that a response may have with any status.
 void decode_common_fields(const Json& body, StoreResponse& response) {
-    if (!absent(body, fields::kRevision)) {
-        response.revision = whole_field(body, fields::kRevision);
+    if (!absent_or_null(body, fields::kRevision)) {
+        response.revision = unsigned_field(body, fields::kRevision);
     }
-    if (!absent(body, fields::kFailedComparisons)) {
+    if (!absent_or_null(body, fields::kFailedComparisons)) {
         for (const Json& key : body[fields::kFailedComparisons]) {
             response.failed.push_back(key.get<std::string>());
         }
     }
 }
 
-// The result of a request that succeeded.
+// Decodes the result of a successful request.
 void decode_result(const Json& body, StoreOperation operation, StoreResponse& response) {
     switch (operation) {
         case StoreOperation::get:
@@ -128,15 +128,15 @@
             }
             break;
         case StoreOperation::lease_grant:
-            response.lease = whole_field(body, fields::kLease);
+            response.lease = unsigned_field(body, fields::kLease);
             break;
         default:
             break;
     }
 }
 
-// The request may have been executed all the same.
-void mark_not_understood(StoreResponse& response) {
+// Treats an undecodable response as no response, because the request may have been executed.
+void mark_undecodable(StoreResponse& response) {
     response.status = StoreStatus::no_response;
     response.rows.clear();
 }
@@ -195,7 +195,7 @@
     }
     auto document = unpack(body, kStoreLimits);
     if (!document || !document->is_object()) {
-        // Whatever it meant, the request may have been executed.
+        // The request may have been executed although its response cannot be decoded.
         if (code == 200) {
             response.status = StoreStatus::no_response;
         }
@@ -207,11 +207,14 @@
             decode_result(*document, request.operation, response);
         }
     } catch (const DecodeError& error) {
-        spdlog::warn("answer of the state service not understood: {}", error.what());
-        mark_not_understood(response);
+        spdlog::warn("cannot decode a response of the store: {}; treating it as no response",
+                     error.what());
+        mark_undecodable(response);
     } catch (const Json::exception&) {
-        spdlog::warn("answer of the state service not understood");
-        mark_not_understood(response);
+        spdlog::warn(
+            "cannot decode a response of the store: a value has an unexpected type; treating it as "
+            "no response");
+        mark_undecodable(response);
     }
     return response;
 }
--- a/src/protocol/user_codec.cpp
+++ b/src/protocol/user_codec.cpp
@@ -1,4 +1,4 @@
-// What users send and are answered.
+// Decodes requests of users and encodes the responses to them.
 #include "protocol/field_names.hpp"
 #include "protocol/json_fields.hpp"
 #include "protocol/wire_requests.hpp"
@@ -41,16 +41,16 @@
 }
 
 std::uint32_t decode_task_count(const Json& body) {
-    std::uint64_t tasks = whole_field(body, fields::kTaskCount);
+    std::uint64_t tasks = unsigned_field(body, fields::kTaskCount);
     if (tasks == 0 || tasks > kMaxTasks) {
         throw DecodeError::invalid(fields::kTaskCount);
     }
     return static_cast<std::uint32_t>(tasks);
 }
 
-// Where the tasks may run: on which machine types and in which zone.
+// Decodes where the tasks may run: allowed machine types, zone, spreading and spot machines.
 void decode_constraints(const Json& body, SubmitRequest& submission) {
-    if (!absent(body, fields::kMachineTypes)) {
+    if (!absent_or_null(body, fields::kMachineTypes)) {
         const Json& machine_types = body[fields::kMachineTypes];
         if (!machine_types.is_array()) {
             throw DecodeError::invalid(fields::kMachineTypes);
@@ -63,9 +63,9 @@
             submission.machine_type_names.push_back(machine_type.get<std::string>());
         }
     }
-    if (!absent(body, fields::kZone)) {
+    if (!absent_or_null(body, fields::kZone)) {
         submission.zone_named = true;
-        submission.zone_name = text_field(body, fields::kZone);
+        submission.zone_name = string_field(body, fields::kZone);
     }
     submission.spec.one_zone = bool_field(body, fields::kOneZone);
     submission.spec.spread = bool_field(body, fields::kSpread);
@@ -73,17 +73,17 @@
 }
 
 void decode_times(const Json& body, JobSpec& spec) {
-    spec.estimate_s = decimal_field(body, fields::kEstimateS);
+    spec.estimate_s = number_field(body, fields::kEstimateS);
     if (spec.service()) {
-        spec.estimate_s = 0;  // it has no end that could be estimated
+        spec.estimate_s = 0;  // a service has no end to estimate
     }
-    spec.checkpoint_interval_s = decimal_field(body, fields::kCheckpointIntervalS);
-    spec.checkpoint_duration_s = decimal_field(body, fields::kCheckpointDurationS);
+    spec.checkpoint_interval_s = number_field(body, fields::kCheckpointIntervalS);
+    spec.checkpoint_duration_s = number_field(body, fields::kCheckpointDurationS);
     spec.deadline_s =
-        absent(body, fields::kDeadlineS) ? -1 : decimal_field(body, fields::kDeadlineS);
+        absent_or_null(body, fields::kDeadlineS) ? -1 : number_field(body, fields::kDeadlineS);
 }
 
-const char* status_word(JobStatus status) {
+const char* status_name(JobStatus status) {
     switch (status) {
         case JobStatus::pending:
             return fields::kStatusPending;
@@ -106,20 +106,20 @@
     SubmitRequest submission;
     submission.request = request;
     JobSpec& spec = submission.spec;
-    spec.id = text_field(body, fields::kJobId);
+    spec.id = string_field(body, fields::kJobId);
     if (!is_valid_job_id(spec.id)) {
         throw DecodeError::invalid(fields::kJobId);
     }
-    submission.job_class_name = text_field(body, fields::kJobClass);
-    submission.team_name = text_field(body, fields::kTeam);
-    spec.shape = decode_shape(text_field(body, fields::kShape));
-    spec.priority = decode_priority(text_field(body, fields::kPriority));
+    submission.job_class_name = string_field(body, fields::kJobClass);
+    submission.team_name = string_field(body, fields::kTeam);
+    spec.shape = decode_shape(string_field(body, fields::kShape));
+    spec.priority = decode_priority(string_field(body, fields::kPriority));
     spec.tasks = decode_task_count(body);
-    spec.task_resources = {decimal_field(body, fields::kCpus), decimal_field(body, fields::kGpus),
-                           decimal_field(body, fields::kMemoryGb)};
+    spec.task_resources = {number_field(body, fields::kCpus), number_field(body, fields::kGpus),
+                           number_field(body, fields::kMemoryGb)};
     decode_constraints(body, submission);
-    submission.image_name = text_field(body, fields::kImage);
-    spec.image_gb = decimal_field(body, fields::kImageGb);
+    submission.image_name = string_field(body, fields::kImage);
+    spec.image_gb = number_field(body, fields::kImageGb);
     decode_times(body, spec);
     return submission;
 }
@@ -136,7 +136,7 @@
     Json body = Json::object();
     if (!response.id.empty()) {
         body[fields::kJobId] = response.id;
-        body[fields::kStatus] = status_word(response.status);
+        body[fields::kStatus] = status_name(response.status);
         if (response.with_counts) {
             body[fields::kDoneCount] = response.done;
             body[fields::kRunningCount] = response.running;
--- a/src/protocol/wire.cpp
+++ b/src/protocol/wire.cpp
@@ -1,4 +1,4 @@
-// Requests to this controller, by method and path.
+// Routes requests to this controller by method and path.
 #include "protocol/wire.hpp"
 
 #include "protocol/field_names.hpp"
@@ -43,7 +43,7 @@
     return Input{decode_submission(request, *document)};
 }
 
-// `path` is what follows "/work/": the id of a job, for a cancellation with "/cancel" behind it.
+// `path` is the part after "/work/": the id of a job, followed by "/cancel" for a cancellation.
 ParsedRequest parse_job_request(RequestId request, Method method, std::string_view path) {
     constexpr std::string_view kCancelSuffix = user_fields::kCancelPathSuffix;
     bool cancel = path.size() > kCancelSuffix.size() && path.ends_with(kCancelSuffix);
@@ -51,7 +51,8 @@
         path.remove_suffix(kCancelSuffix.size());
     }
     std::string job_id(path);
-    // What can't be an id was never submitted; it must never become part of a key.
+    // No job with an invalid id can have been submitted, and an invalid id must never become part
+    // of a store key.
     if (!is_valid_job_id(job_id)) {
         return error_response(404, "no such job");
     }
--- a/src/protocol/wire.hpp
+++ b/src/protocol/wire.hpp
@@ -1,6 +1,6 @@
-// HTTP messages to and from the domain's types: the requests of users and workers with their
-// responses, and the requests to the store, the cloud and the workers with theirs. The words of
-// the wire itself stand in field_names.hpp.
+// Converts between HTTP messages and the domain types: requests of users and workers with their
+// responses, and requests to the store, the cloud and the workers with theirs. The paths and field
+// names of these protocols are defined in field_names.hpp.
 #pragma once
 
 #include <string>
@@ -12,41 +12,42 @@
 
 namespace walkford::protocol {
 
-// HTTP methods, as far as the protocols use them.
+// HTTP methods. `other` stands for all methods that the protocols do not use.
 enum class Method : std::uint8_t { get, post, del, other };
 
-// An HTTP response of this controller.
+// An HTTP response that this controller sends.
 struct HttpResponse {
     int code = 200;
     std::string body;
     int retry_after_s = 0;  // 0: no Retry-After header
 };
 
-// An HTTP request of this controller.
+// An HTTP request that this controller sends.
 struct HttpRequest {
     Method method = Method::get;
     std::string path;
     std::string body;
 };
 
-// A request to this controller: an input for the core, or the error response for a request that
-// the core never sees.
+// The result of parsing a request to this controller: an input for the core, or an error response
+// to a request that is rejected without reaching the core.
 using ParsedRequest = std::variant<Input, HttpResponse>;
 
-// Parses a request of a user or a worker; the server calls it for each request. Never throws.
+// Parses a request of a user or a worker. Called by the HTTP server for each request. Never throws.
 ParsedRequest parse_request(RequestId request, Method method, std::string_view path,
                             std::string_view body);
 HttpResponse encode(const UserResponse& response);
 HttpResponse encode(const HeartbeatResponse& response);
-// An error response; with 429 and 503 the client is asked to try again after a second.
+// Builds an error response. With codes 429 and 503, it asks the client to retry after 1 second.
 HttpResponse error_response(int code, const std::string& message);
 
-// In the decoders below, `code` is the HTTP status, or 0 where no response came. A body that can't
-// be understood is logged and counts as no response: the request may have been executed.
+// In the decoders below, `code` is the HTTP status, or 0 if no response was received. A response
+// of the store or the cloud that lacks required fields or has invalid ones is logged and treated as
+// no response, because the request may have been executed.
 HttpRequest encode(const StoreRequest& request);
 StoreResponse decode_store_response(const StoreRequest& request, int code, std::string_view body);
 HttpRequest encode(const CloudRequest& request);
-// Machine types and zones are added to `names`.
+// Adds the names of machine types and zones in the response to `names`.
 CloudResponse decode_cloud_response(const CloudRequest& request, int code, std::string_view body,
                                     Names& names);
 HttpRequest encode(const WorkerRequest& request);
--- a/src/protocol/wire_requests.hpp
+++ b/src/protocol/wire_requests.hpp
@@ -1,14 +1,14 @@
-// The bodies of requests that come from users and workers. Both functions throw DecodeError for a
-// field that is missing or invalid.
+// Decoders for the bodies of requests from users and workers. Both functions throw DecodeError if a
+// field is missing or invalid.
 #pragma once
 
 #include "protocol/wire.hpp"
 
 namespace walkford::protocol {
 
-// A job that a user submits.
+// Decodes a job submission of a user.
 SubmitRequest decode_submission(RequestId request, const Json& body);
-// What a worker reports of itself, in a heartbeat or in the response to a command.
+// Decodes the status that a worker reports in a heartbeat or in the response to commands.
 WorkerStatus decode_worker_status(const Json& body);
 
 }  // namespace walkford::protocol
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -1,4 +1,4 @@
-// What workers report and are told.
+// Decodes the status that workers report and encodes the commands to them.
 #include <charconv>
 #include <optional>
 
@@ -12,13 +12,13 @@
 
 namespace {
 
-// A task as workers name it.
+// The parts of a task name as workers use it.
 struct TaskName {
     std::string job_id;
     std::uint32_t task = 0;
 };
 
-// "j-000412/3"; nothing where it names no task.
+// Parses "<job id>/<index of the task>", such as "j-000412/3". Returns nothing for an invalid name.
 std::optional<TaskName> parse_task_name(const std::string& name) {
     auto slash = name.rfind('/');
     if (slash == std::string::npos || slash == 0) {
@@ -57,23 +57,23 @@
     if (!entry.is_object()) {
         throw DecodeError::invalid(fields::kTasks);
     }
-    auto name = parse_task_name(text_field(entry, fields::kTask));
+    auto name = parse_task_name(string_field(entry, fields::kTask));
     if (!name) {
         throw DecodeError::invalid(fields::kTask);
     }
     ReportedTask task;
     task.job = std::move(name->job_id);
     task.task = name->task;
-    task.attempt = static_cast<std::uint32_t>(whole_field(entry, fields::kAttempt));
-    task.state = decode_task_state(text_field(entry, fields::kTaskState));
-    if (!absent(entry, fields::kExitCause)) {
-        task.cause = text_field(entry, fields::kExitCause);
+    task.attempt = static_cast<std::uint32_t>(unsigned_field(entry, fields::kAttempt));
+    task.state = decode_task_state(string_field(entry, fields::kTaskState));
+    if (!absent_or_null(entry, fields::kExitCause)) {
+        task.cause = string_field(entry, fields::kExitCause);
     }
     task.progress_saved = optional_flag(entry, fields::kProgressSaved);
     return task;
 }
 
-// Nothing where the body can't be decoded.
+// Returns nothing if the body cannot be decoded.
 std::optional<WorkerStatus> try_decode_worker_status(const Json& body) {
     try {
         return decode_worker_status(body);
@@ -126,19 +126,20 @@
         throw DecodeError::not_a_map();
     }
     WorkerStatus status;
-    status.machine = text_field(body, fields::kMachine);
+    status.machine = string_field(body, fields::kMachine);
     if (status.machine.empty()) {
         throw DecodeError::invalid(fields::kMachine);
     }
-    status.address = absent(body, fields::kAddress) ? "" : text_field(body, fields::kAddress);
-    status.machine_type = text_field(body, fields::kMachineType);
-    status.zone = text_field(body, fields::kZone);
+    status.address =
+        absent_or_null(body, fields::kAddress) ? "" : string_field(body, fields::kAddress);
+    status.machine_type = string_field(body, fields::kMachineType);
+    status.zone = string_field(body, fields::kZone);
     status.spot = bool_field(body, fields::kSpot);
-    status.incarnation = whole_field(body, fields::kIncarnation);
-    status.sequence = whole_field(body, fields::kSequence);
-    status.fencing_token = whole_field(body, fields::kFencingToken);
-    if (!absent(body, fields::kReclaimNoticeS)) {
-        status.notice_s = decimal_field(body, fields::kReclaimNoticeS);
+    status.incarnation = unsigned_field(body, fields::kIncarnation);
+    status.sequence = unsigned_field(body, fields::kSequence);
+    status.fencing_token = unsigned_field(body, fields::kFencingToken);
+    if (!absent_or_null(body, fields::kReclaimNoticeS)) {
+        status.notice_s = number_field(body, fields::kReclaimNoticeS);
     }
     const Json& tasks = required_field(body, fields::kTasks);
     if (!tasks.is_array()) {
