--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr ssize_t kMaxResponseBytes = ssize_t{8} * 1024 * 1024;
 
-evhttp_cmd_type command_of(protocol::Method method) {
+evhttp_cmd_type to_libevent_command(protocol::Method method) {
     switch (method) {
         case protocol::Method::get:
             return EVHTTP_REQ_GET;
@@ -29,17 +29,17 @@
 }
 
 HttpClient::~HttpClient() {
-    // Freeing a connection calls back for its request; no handler is to be called any more.
-    for (OpenRequest* open : open_) {
-        open->finished = true;
+    // Freeing a connection invokes on_done for its request; no handler may be called any more.
+    for (InFlightRequest* in_flight : in_flight_) {
+        in_flight->finished = true;
     }
     connections_.clear();
-    for (OpenRequest* open : open_) {
-        delete open;
+    for (InFlightRequest* in_flight : in_flight_) {
+        delete in_flight;
     }
 }
 
-bool HttpClient::idle() const { return open_.empty() && queue_.empty(); }
+bool HttpClient::idle() const { return in_flight_.empty() && queue_.empty(); }
 
 void HttpClient::connect(PooledConnection& pooled) {
     pooled.connection.reset(
@@ -52,15 +52,15 @@
 void HttpClient::send(protocol::HttpRequest call, ResponseHandler on_response) {
     for (std::size_t i = 0; i < connections_.size(); ++i) {
         if (!connections_[i].busy) {
-            start(i, call, std::move(on_response));
+            start_request(i, call, std::move(on_response));
             return;
         }
     }
     queue_.push_back({std::move(call), std::move(on_response)});
 }
 
-// Headers and body of a request.
-void HttpClient::fill(evhttp_request* request, const protocol::HttpRequest& call) const {
+// Sets the headers and the body of a request.
+void HttpClient::fill_request(evhttp_request* request, const protocol::HttpRequest& call) const {
     evkeyvalq* headers = evhttp_request_get_output_headers(request);
     evhttp_add_header(headers, "Host", address_.c_str());
     if (!keep_alive_) {
@@ -72,40 +72,40 @@
     }
 }
 
-void HttpClient::start(std::size_t connection_index, const protocol::HttpRequest& call,
-                       ResponseHandler on_response) {
+void HttpClient::start_request(std::size_t connection_index, const protocol::HttpRequest& call,
+                               ResponseHandler on_response) {
     PooledConnection& pooled = connections_[connection_index];
     if (!pooled.connection) {
         connect(pooled);
     }
     pooled.busy = true;
-    auto* open = new OpenRequest{this, connection_index, std::move(on_response), nullptr};
-    open_.push_back(open);
-    evhttp_request* request = evhttp_request_new(on_done, open);
+    auto* in_flight = new InFlightRequest{this, connection_index, std::move(on_response), nullptr};
+    in_flight_.push_back(in_flight);
+    evhttp_request* request = evhttp_request_new(on_done, in_flight);
     if (!pooled.connection || !request) {
         if (request) {
             evhttp_request_free(request);
         }
-        finish(open, 0, {});
+        finish(in_flight, 0, {});
         return;
     }
-    fill(request, call);
-    // One deadline for the whole call: the library's own timeouts start anew with every byte.
-    open->deadline.reset(evtimer_new(base_, on_deadline, open));
+    fill_request(request, call);
+    // A single deadline covers the whole call, as libevent's own timeouts restart with every byte.
+    in_flight->deadline.reset(evtimer_new(base_, on_deadline, in_flight));
     timeval timeout = to_timeval(timeout_ms_);
-    evtimer_add(open->deadline.get(), &timeout);
-    if (evhttp_make_request(pooled.connection.get(), request, command_of(call.method),
+    evtimer_add(in_flight->deadline.get(), &timeout);
+    if (evhttp_make_request(pooled.connection.get(), request, to_libevent_command(call.method),
                             call.path.c_str()) != 0) {
-        // The request is freed by the library, and on_done isn't called.
-        if (std::find(open_.begin(), open_.end(), open) != open_.end()) {
-            finish(open, 0, {});
+        // libevent has freed the request and does not call on_done for it.
+        if (std::find(in_flight_.begin(), in_flight_.end(), in_flight) != in_flight_.end()) {
+            finish(in_flight, 0, {});
         }
     }
 }
 
-void HttpClient::on_done(evhttp_request* request, void* open_request) {
-    auto* open = static_cast<OpenRequest*>(open_request);
-    if (open->finished) {
+void HttpClient::on_done(evhttp_request* request, void* in_flight_request) {
+    auto* in_flight = static_cast<InFlightRequest*>(in_flight_request);
+    if (in_flight->finished) {
         return;
     }
     int code = request ? evhttp_request_get_response_code(request) : 0;
@@ -117,25 +117,25 @@
             body.assign(reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), size);
         }
     }
-    open->client->finish(open, code, body);
+    in_flight->client->finish(in_flight, code, body);
 }
 
-void HttpClient::on_deadline(evutil_socket_t, short, void* open_request) {
-    auto* open = static_cast<OpenRequest*>(open_request);
-    HttpClient* client = open->client;
-    // The response may still come: it must not be taken for another request's, so the connection is
-    // closed.
-    open->finished = true;
-    client->connections_[open->connection_index].connection.reset();
-    client->finish(open, 0, {});
+void HttpClient::on_deadline(evutil_socket_t, short, void* in_flight_request) {
+    auto* in_flight = static_cast<InFlightRequest*>(in_flight_request);
+    HttpClient* client = in_flight->client;
+    // Closes the connection: the response may still arrive and must not be mistaken for the
+    // response to a later request.
+    in_flight->finished = true;
+    client->connections_[in_flight->connection_index].connection.reset();
+    client->finish(in_flight, 0, {});
 }
 
-void HttpClient::finish(OpenRequest* open, int code, std::string_view body) {
-    open->finished = true;
-    std::erase(open_, open);
-    std::size_t connection_index = open->connection_index;
-    ResponseHandler on_response = std::move(open->on_response);
-    std::unique_ptr<OpenRequest> freed(open);
+void HttpClient::finish(InFlightRequest* in_flight, int code, std::string_view body) {
+    in_flight->finished = true;
+    std::erase(in_flight_, in_flight);
+    std::size_t connection_index = in_flight->connection_index;
+    ResponseHandler on_response = std::move(in_flight->on_response);
+    std::unique_ptr<InFlightRequest> freed(in_flight);
     connections_[connection_index].busy = false;
     if (!queue_.empty()) {
         schedule_next(connection_index);
@@ -143,7 +143,8 @@
     on_response(code, body);
 }
 
-// Sends the next request from the event loop: this may run inside the connection's own callback.
+// Defers sending the next request to the event loop, as this function may be running inside a
+// callback of the same connection.
 void HttpClient::schedule_next(std::size_t connection_index) {
     connections_[connection_index].busy = true;
     auto* free_connection = new FreeConnection{this, connection_index};
@@ -160,7 +161,7 @@
     }
     QueuedRequest next = std::move(client->queue_.front());
     client->queue_.pop_front();
-    client->start(target->connection_index, next.call, std::move(next.on_response));
+    client->start_request(target->connection_index, next.call, std::move(next.on_response));
 }
 
 }  // namespace walkford::transport
--- a/src/transport/http_client.hpp
+++ b/src/transport/http_client.hpp
@@ -1,5 +1,5 @@
-// An HTTP client of one address, on libevent. It has a few connections with one request at a time
-// on each; further requests wait in a queue, in order.
+// An HTTP client for a single server address, based on libevent. It has a fixed number of
+// connections with at most one request in flight on each; further requests wait in a FIFO queue.
 #pragma once
 
 #include <deque>
@@ -11,23 +11,24 @@
 
 namespace walkford::transport {
 
-// Sends requests to one address. Every request is answered exactly once, unless the client is
-// destroyed before: with a response, or with status 0 after an error or at the deadline.
+// Sends requests to one address. The handler of every request is called exactly once,
+// unless the client is destroyed before: with the response, or with status 0 after an error or when
+// the deadline expires.
 class HttpClient {
   public:
-    // Called with the HTTP status, 0 where no response came, and the body, which is valid during
-    // the call only.
+    // Called with the HTTP status, or 0 if no response was received, and the body, which is valid
+    // only during the call.
     using ResponseHandler = std::function<void(int code, std::string_view body)>;
-    // `keep_alive`: connections stay open for further requests.
+    // With `keep_alive`, connections stay open for further requests.
     HttpClient(event_base* base, const std::string& address, std::size_t connections,
                long timeout_ms, bool keep_alive);
     ~HttpClient();
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
 
-    // Sends a request as soon as a connection is free.
+    // Sends a request, or queues it until a connection is free.
     void send(protocol::HttpRequest call, ResponseHandler on_response);
-    // Whether no request is open or queued.
+    // Whether no request is in flight or queued.
     bool idle() const;
 
   private:
@@ -36,29 +37,29 @@
         bool busy = false;
     };
     // A request that has been sent. libevent holds a pointer to it until it calls on_done.
-    struct OpenRequest {
+    struct InFlightRequest {
         HttpClient* client;
         std::size_t connection_index;
         ResponseHandler on_response;
         Event deadline;
-        bool finished = false;  // whatever libevent still reports of it is ignored
+        bool finished = false;  // later libevent callbacks for this request are ignored
     };
     struct QueuedRequest {
         protocol::HttpRequest call;
         ResponseHandler on_response;
     };
-    // A connection on which the next request of the queue is to be sent.
+    // Callback argument: the connection that sends the next queued request.
     struct FreeConnection {
         HttpClient* client;
         std::size_t connection_index;
     };
-    static void on_done(evhttp_request* request, void* open_request);
-    static void on_deadline(evutil_socket_t, short, void* open_request);
+    static void on_done(evhttp_request* request, void* in_flight_request);
+    static void on_deadline(evutil_socket_t, short, void* in_flight_request);
     static void on_send_next(evutil_socket_t, short, void* free_connection);
-    void start(std::size_t connection_index, const protocol::HttpRequest& call,
-               ResponseHandler on_response);
-    void fill(evhttp_request* request, const protocol::HttpRequest& call) const;
-    void finish(OpenRequest* open, int code, std::string_view body);
+    void start_request(std::size_t connection_index, const protocol::HttpRequest& call,
+                       ResponseHandler on_response);
+    void fill_request(evhttp_request* request, const protocol::HttpRequest& call) const;
+    void finish(InFlightRequest* in_flight, int code, std::string_view body);
     void schedule_next(std::size_t connection_index);
     void connect(PooledConnection& pooled);
 
@@ -70,7 +71,7 @@
     bool keep_alive_;
     std::vector<PooledConnection> connections_;
     std::deque<QueuedRequest> queue_;
-    std::vector<OpenRequest*> open_;
+    std::vector<InFlightRequest*> in_flight_;
 };
 
 }  // namespace walkford::transport
--- a/src/transport/main.cpp
+++ b/src/transport/main.cpp
@@ -1,4 +1,5 @@
-// The program: command line, settings, log; then the process runs until it is killed.
+// Entry point: parses the command line, loads the settings, configures logging and runs the process
+// until it is killed.
 #include <event2/event.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -15,25 +16,25 @@
 
 namespace {
 
-constexpr int kBadSettings = 2;
-constexpr int kCannotServe = 1;
+constexpr int kExitInvalidSettings = 2;
+constexpr int kExitRuntimeError = 1;
 
-void set_up_log(const std::string& controller) {
+void configure_logging(const std::string& controller) {
     auto logger = spdlog::stderr_logger_st(controller);
     logger->set_pattern("[%H:%M:%S.%e] [%n] [%l] %v");
     const char* level = std::getenv("LOG_LEVEL");
     std::string name = level ? level : "info";
-    bool known = name == "error" || name == "info" || name == "debug";
+    bool valid = name == "error" || name == "info" || name == "debug";
     logger->set_level(name == "error"   ? spdlog::level::err
                       : name == "debug" ? spdlog::level::debug
                                         : spdlog::level::info);
     spdlog::set_default_logger(logger);
-    if (!known) {
-        spdlog::warn("LOG_LEVEL '{}' is not error, info or debug: info it is", name);
+    if (!valid) {
+        spdlog::warn("invalid LOG_LEVEL '{}': expected error, info or debug; using info", name);
     }
 }
 
-// Tells this run of the process from all others.
+// Returns an identifier that distinguishes this run of the process from all others.
 std::string random_incarnation() {
     std::random_device device;
     char text[17];
@@ -44,22 +45,22 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"walkford, a cluster scheduler: one controller"};
+    CLI::App app{"walkford cluster scheduler: runs one controller"};
     std::string config;
     std::vector<std::string> properties;
     bool check = false;
     app.add_option("--config", config, "the platform's settings, a JSON file")->required();
     app.add_option("--properties", properties,
-                   "the operators' settings, property files: the later counts")
+                   "the operators' settings, property files; later files override earlier ones")
         ->expected(1)
         ->take_all();
-    app.add_flag("--check", check, "check both files and stop");
+    app.add_flag("--check", check, "validate the settings files and exit");
     app.set_version_flag("--version", std::string("walkford ") + WALKFORD_VERSION);
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
         int code = app.exit(error);
-        return code == 0 ? 0 : kBadSettings;
+        return code == 0 ? 0 : kExitInvalidSettings;
     }
 
     walkford::PlatformSettings platform_settings;
@@ -71,7 +72,7 @@
         walkford::protocol::note_unknown_classes(operator_settings, platform_settings, notes);
     } catch (const std::exception& error) {
         std::cerr << "walkford: " << error.what() << "\n";
-        return kBadSettings;
+        return kExitInvalidSettings;
     }
     if (check) {
         for (const std::string& note : notes) {
@@ -80,7 +81,7 @@
         std::cout << "settings are good\n";
         return 0;
     }
-    set_up_log(platform_settings.controller_name);
+    configure_logging(platform_settings.controller_name);
     for (const std::string& note : notes) {
         spdlog::warn("settings: {}", note);
     }
@@ -92,6 +93,6 @@
         return process.run();
     } catch (const std::exception& error) {
         spdlog::error("{}", error.what());
-        return kCannotServe;
+        return kExitRuntimeError;
     }
 }
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 constexpr std::size_t kMaxUnsentBytes = std::size_t{32} * 1024;
-constexpr std::size_t kMaxIncoming = 16;
+constexpr std::size_t kMaxIncomingConnections = 16;
 constexpr int kMaxAttemptedSends = 6;
-constexpr std::size_t kLengthBytes = 4;  // before each frame, big endian
+constexpr std::size_t kLengthPrefixBytes = 4;  // big-endian length prefix of each frame
 
 sockaddr_in to_sockaddr(const std::string& address) {
     auto [host, port] = split_address(address);
@@ -22,14 +22,14 @@
     socket_address.sin_family = AF_INET;
     socket_address.sin_port = htons(port);
     if (inet_pton(AF_INET, host.c_str(), &socket_address.sin_addr) != 1) {
-        throw std::runtime_error("not an IPv4 address: " + address);
+        throw std::runtime_error("invalid peer address " + address + ": expected an IPv4 address");
     }
     return socket_address;
 }
 
-// The length of the frame at the beginning of the buffer, which has kLengthBytes at least.
-std::size_t peek_length(evbuffer* input) {
-    std::array<unsigned char, kLengthBytes> length{};
+// Reads the length prefix without consuming it. The buffer must hold at least kLengthBytes.
+std::size_t peek_frame_length(evbuffer* input) {
+    std::array<unsigned char, kLengthPrefixBytes> length{};
     evbuffer_copyout(input, length.data(), length.size());
     std::size_t size = 0;
     for (unsigned char byte : length) {
@@ -50,12 +50,12 @@
         base_, on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
         -1, reinterpret_cast<sockaddr*>(&address), sizeof address));
     if (!listener_) {
-        throw std::runtime_error("can't listen on " + listen);
+        throw std::runtime_error("failed to listen for peers on " + listen);
     }
     for (std::size_t i = 0; i < outgoing_.size(); ++i) {
         outgoing_[i].link = this;
         outgoing_[i].peer = i;
-        to_sockaddr(peers_[i].address);  // refuse an invalid address at the start
+        to_sockaddr(peers_[i].address);  // rejects an invalid address at startup
     }
 }
 
@@ -87,8 +87,9 @@
             return;
         }
     }
-    // In a partition nothing is answered: the connection is closed with what is unsent and begun
-    // anew, or heartbeats that are minutes old would go out first.
+    // In a network partition, packets are dropped without an error. The connection is closed, its
+    // unsent data discarded and a new one opened; otherwise heartbeats that are minutes old would
+    // be delivered first once the partition ends.
     if (!outgoing.connected && ++outgoing.attempted_sends > kMaxAttemptedSends) {
         outgoing.buffer.reset();
         return;
@@ -122,7 +123,7 @@
 
 void PeerLink::on_accept(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* arg) {
     auto* self = static_cast<PeerLink*>(arg);
-    if (self->incoming_.size() >= kMaxIncoming) {
+    if (self->incoming_.size() >= kMaxIncomingConnections) {
         self->incoming_.pop_front();
     }
     self->incoming_.emplace_back();
@@ -147,22 +148,23 @@
     auto* incoming = static_cast<Incoming*>(arg);
     PeerLink* self = incoming->link;
     evbuffer* input = bufferevent_get_input(buffer);
-    while (evbuffer_get_length(input) >= kLengthBytes) {
-        std::size_t size = peek_length(input);
+    while (evbuffer_get_length(input) >= kLengthPrefixBytes) {
+        std::size_t size = peek_frame_length(input);
         if (size == 0 || size > protocol::kMaxFrameBytes) {
-            spdlog::warn("a peer sent a frame of {} bytes: connection closed", size);
+            spdlog::warn("closing a peer connection: frame length {} bytes, expected 1 to {}", size,
+                         protocol::kMaxFrameBytes);
             self->close(*incoming);
             return;
         }
-        if (evbuffer_get_length(input) < kLengthBytes + size) {
+        if (evbuffer_get_length(input) < kLengthPrefixBytes + size) {
             return;
         }
-        evbuffer_drain(input, kLengthBytes);
+        evbuffer_drain(input, kLengthPrefixBytes);
         std::string frame(size, '\0');
         evbuffer_remove(input, frame.data(), size);
         auto heartbeat = protocol::decode_frame(frame);
         if (!heartbeat) {
-            spdlog::warn("a peer sent a frame that is not understood");
+            spdlog::warn("closing a peer connection: failed to decode a frame of {} bytes", size);
             self->close(*incoming);
             return;
         }
@@ -170,7 +172,7 @@
     }
 }
 
-// A heartbeat of a controller that the settings don't name is dropped.
+// Drops heartbeats from controllers that are not in the settings.
 void PeerLink::deliver(PeerHeartbeat heartbeat) {
     for (std::size_t i = 0; i < peers_.size(); ++i) {
         if (peers_[i].name == heartbeat.controller) {
--- a/src/transport/peer_link.hpp
+++ b/src/transport/peer_link.hpp
@@ -1,5 +1,5 @@
-// Heartbeats between controllers over TCP: one outgoing connection to each peer, and the incoming
-// ones of the peers. Frames go one way only.
+// Heartbeats between controllers over TCP: one outgoing connection to each peer, and one incoming
+// connection from each. Frames are sent only by the side that opened the connection.
 #pragma once
 
 #include <functional>
@@ -13,15 +13,15 @@
 
 namespace walkford::transport {
 
-// Sends heartbeats to the peers and hands on those that come in. Delivery is best effort: a
-// heartbeat that can't be sent at once is dropped, as the next one replaces it.
+// Sends heartbeats to the peers and passes received ones to the handler. Delivery is best effort: a
+// heartbeat that cannot be sent immediately is dropped, as the next one supersedes it.
 class PeerLink {
   public:
-    // Called with each heartbeat of a known peer, from the event loop.
+    // Called from the event loop with each heartbeat received from a known peer.
     using Handler = std::function<void(IncomingPeerHeartbeat)>;
-    // Throws std::runtime_error where `listen` can't be listened on or an address is not valid.
+    // Throws std::runtime_error if listening on `listen` fails or an address is invalid.
     PeerLink(event_base* base, const std::string& listen, std::vector<Peer> peers, Handler handler);
-    // Sends a heartbeat, or begins to connect where there is no connection.
+    // Sends a heartbeat, or drops it and starts connecting if there is no connection.
     void send(const OutgoingPeerHeartbeat& message);
 
   private:
@@ -30,12 +30,12 @@
         std::size_t peer = 0;
         BufferEvent buffer;
         bool connected = false;
-        int attempted_sends = 0;  // since the connection was begun, while it was not connected
+        int attempted_sends = 0;  // heartbeats dropped while this connection was being set up
     };
     struct Incoming {
         PeerLink* link = nullptr;
         BufferEvent buffer;
-        std::list<Incoming>::iterator position;  // of this object, by which it is erased
+        std::list<Incoming>::iterator position;  // of this object in incoming_, for erasing it
     };
     static void on_accept(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self);
     static void on_incoming_read(bufferevent* buffer, void* incoming);
--- a/src/transport/process.cpp
+++ b/src/transport/process.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 constexpr long kStoreTimeoutMs = 1500;
-constexpr long kWatchTimeoutMs = 24000;  // more than the store is asked to wait for changes
+constexpr long kWatchTimeoutMs = 24000;  // longer than the wait time of a watch request
 constexpr long kCloudTimeoutMs = 4500;
 constexpr long kWorkerTimeoutMs = 3000;
 constexpr std::size_t kStoreConnections = 5;
 constexpr std::size_t kCloudConnections = 2;
-// Requests to workers in a partition keep their connections until the timeout; there must be others
-// left for the reachable workers.
+// Requests to workers behind a network partition occupy their connections until the timeout, so
+// there must be enough connections left for the reachable workers.
 constexpr std::size_t kMinWorkerConnections = 48;
 constexpr Ms kWorkerConnectionIdleMs = 8000;
-// File descriptors for everything but users, workers and peers.
-constexpr std::size_t kOwnFds = 16;
+// File descriptors reserved for everything except users, workers and peers.
+constexpr std::size_t kBaseFds = 16;
 constexpr std::size_t kFdsPerPeer = 4;
-constexpr long kFirstWakeMs = 1;
+constexpr long kFirstWakeDelayMs = 1;
 
 std::uint64_t random_seed() {
     std::random_device device;
@@ -41,7 +41,7 @@
       base_(event_base_new()),
       controller_(std::move(platform_settings), std::move(operator_settings), random_seed()) {
     if (!base_) {
-        throw std::runtime_error("no event loop");
+        throw std::runtime_error("failed to create the libevent event loop");
     }
     controller_.set_stopwatch([] {
         return std::chrono::duration_cast<std::chrono::microseconds>(
@@ -49,11 +49,12 @@
             .count();
     });
     event_base* base = base_.get();
-    // Connections to store, cloud, workers and peers come first; the server gets the rest.
+    // Reserves file descriptors for the store, the cloud, workers and peers; the HTTP server gets
+    // the rest.
     max_worker_connections_ =
         std::max<std::size_t>(kMinWorkerConnections, platform_settings_.fd_limit / 16);
     std::size_t reserved_fds =
-        kOwnFds + max_worker_connections_ + kFdsPerPeer * platform_settings_.peers.size();
+        kBaseFds + max_worker_connections_ + kFdsPerPeer * platform_settings_.peers.size();
     std::size_t max_served = platform_settings_.fd_limit > 2 * reserved_fds
                                  ? platform_settings_.fd_limit - reserved_fds
                                  : platform_settings_.fd_limit / 2;
@@ -70,37 +71,39 @@
     cloud_client_ = std::make_unique<HttpClient>(base, platform_settings_.cloud, kCloudConnections,
                                                  kCloudTimeoutMs, true);
     wake_timer_.reset(evtimer_new(base, on_wake, this));
-    timeval first_wake = to_timeval(kFirstWakeMs);
+    timeval first_wake = to_timeval(kFirstWakeDelayMs);
     evtimer_add(wake_timer_.get(), &first_wake);
 }
 
 int Process::run() {
-    spdlog::info("{} serves on {}, incarnation {}", platform_settings_.controller_name,
-                 platform_settings_.serve_on, platform_settings_.incarnation);
+    spdlog::info("controller {} is listening on {}, incarnation {}",
+                 platform_settings_.controller_name, platform_settings_.serve_on,
+                 platform_settings_.incarnation);
     while (event_base_loop(base_.get(), EVLOOP_ONCE) == 0) {
-        finish_turn();
+        step_controller();
     }
     return 1;
 }
 
-// All that came in during one turn of the event loop goes into one step of the controller: under
-// load a turn brings many messages, and a step costs more than a single message.
-void Process::finish_turn() {
-    work_counters_.count_loop_turn();
+// Passes all messages received in one event loop iteration to the controller in one step: under
+// load an iteration receives many messages, and a step costs more than a single message.
+void Process::step_controller() {
+    work_counters_.count_loop_iteration();
     while (!received_.empty()) {
         std::vector<Input> inputs = std::move(received_);
         received_.clear();
-        work_counters_.count_core_round();
+        work_counters_.count_controller_step();
         for (const Input& input : inputs) {
             work_counters_.count_input(input);
         }
-        // A request that fails at once becomes an input while the outputs are being carried out.
+        // Dispatching an output may add to received_: a request that fails immediately yields an
+        // input.
         for (Output& output : controller_.step(now(), inputs)) {
             work_counters_.count_output(output);
-            route(output);
+            dispatch(output);
         }
     }
-    if (auto line = work_counters_.finish_period(now(), server_->accepted())) {
+    if (auto line = work_counters_.finish_period(now(), server_->accepted_connections())) {
         spdlog::debug("{}", *line);
     }
 }
@@ -121,12 +124,12 @@
 
 void Process::receive(Input input) { received_.push_back(std::move(input)); }
 
-void Process::route(Output& output) {
+void Process::dispatch(Output& output) {
     std::visit(
         [this](auto& message) {
             using T = std::decay_t<decltype(message)>;
             if constexpr (std::is_same_v<T, UserResponse> || std::is_same_v<T, HeartbeatResponse>) {
-                server_->answer(message.request, protocol::encode(message));
+                server_->send_response(message.request, protocol::encode(message));
             } else if constexpr (std::is_same_v<T, StoreRequest>) {
                 send_to_store(std::move(message));
             } else if constexpr (std::is_same_v<T, CloudRequest>) {
@@ -158,7 +161,7 @@
 void Process::send_to_store(StoreRequest request) {
     HttpClient& client = store_client(request);
     protocol::HttpRequest http = protocol::encode(request);
-    request.transaction = {};  // the response is decoded without it
+    request.transaction = {};  // not needed for decoding the response
     client.send(std::move(http),
                 [this, request = std::move(request)](int code, std::string_view body) {
                     receive(protocol::decode_store_response(request, code, body));
--- a/src/transport/process.hpp
+++ b/src/transport/process.hpp
@@ -1,4 +1,4 @@
-// The running process: the controller, between its sockets and timers.
+// Connects the controller to its sockets and timers.
 #pragma once
 
 #include <map>
@@ -11,21 +11,21 @@
 
 namespace walkford::transport {
 
-// Owns the event loop, all connections and the controller. Everything runs on one thread: messages
-// become inputs, which are given to the controller at the end of a turn of the event loop, and its
-// outputs become requests, responses and timers.
+// Owns the event loop, all connections and the controller. Everything runs on one thread: received
+// messages become inputs, which are passed to the controller at the end of an event loop iteration,
+// and its outputs become requests, responses and timers.
 class Process {
   public:
-    // Throws std::runtime_error where an address can't be listened on.
+    // Throws std::runtime_error if an address is invalid or listening on it fails.
     Process(PlatformSettings platform_settings, OperatorSettings operator_settings);
-    // Runs until killed; returns only when the event loop fails.
+    // Runs until the process is killed; returns only if the event loop fails.
     int run();
 
   private:
-    // Keeps an input for the round at the end of this turn of the event loop.
+    // Queues an input for the controller step at the end of this event loop iteration.
     void receive(Input input);
-    void finish_turn();
-    void route(Output& output);
+    void step_controller();
+    void dispatch(Output& output);
     void close_idle_worker_connections();
     void send_to_store(StoreRequest request);
     void send_to_cloud(CloudRequest request);
@@ -40,12 +40,12 @@
     Controller controller_;
     std::unique_ptr<HttpServer> server_;
     std::unique_ptr<PeerLink> peers_;
-    // Lease renewals and watches wait behind no other request.
+    // Lease renewals and watches have their own clients so that no other request delays them.
     std::unique_ptr<HttpClient> store_lease_client_;
     std::unique_ptr<HttpClient> store_watch_client_;
     std::unique_ptr<HttpClient> store_client_;
     std::unique_ptr<HttpClient> cloud_client_;
-    // The connection to a worker, for requests that go to it directly.
+    // A connection for requests sent directly to a worker.
     struct WorkerConnection {
         std::unique_ptr<HttpClient> client;
         Ms last_use = 0;
--- a/src/transport/work_counters.hpp
+++ b/src/transport/work_counters.hpp
@@ -1,4 +1,4 @@
-// Counts the messages and wake-ups of one controller, so that its processor time can be attributed.
+// Counts the messages and wake-ups of one controller, to attribute its CPU time.
 #pragma once
 
 #include <array>
@@ -11,32 +11,33 @@
 
 namespace walkford::transport {
 
-// Counters over a fixed period. Cheap enough to run always: an increment for each event.
+// Counters over a fixed period. They are always enabled, as each event costs only an increment.
 class WorkCounters {
   public:
-    // How long one period lasts.
+    // Length of a period in milliseconds.
     static constexpr Ms kPeriod = 10000;
 
-    // One turn of the event loop.
-    void count_loop_turn() { ++loop_turns_; }
-    // One step of the controller.
-    void count_core_round() { ++core_rounds_; }
-    // A message or a tick that the controller is given.
+    // Counts an event loop iteration.
+    void count_loop_iteration() { ++loop_iterations_; }
+    // Counts a controller step.
+    void count_controller_step() { ++controller_steps_; }
+    // Counts a message or a tick passed to the controller.
     void count_input(const Input& input) { ++inputs_[input.index()]; }
-    // A message or a timer that the controller asks for.
+    // Counts a message or a timer requested by the controller.
     void count_output(const Output& output);
 
-    // Once a period is over: one line with all counts that are not zero. Starts the next period.
+    // If the period has ended, returns a line with all non-zero counts and starts the next period.
     // `connections` is the number of connections accepted since the process started.
     std::optional<std::string> finish_period(Ms now, std::uint64_t connections);
 
   private:
-    // The values of StoreOperation, and watches apart from other reads of changes.
+    // One for each value of StoreOperation, plus one that counts watches separately from other
+    // reads of changes.
     static constexpr std::size_t kStoreOperations = 8;
 
-    std::uint64_t loop_turns_ = 0;
-    std::uint64_t core_rounds_ = 0;
-    std::uint64_t connections_before_ = 0;
+    std::uint64_t loop_iterations_ = 0;
+    std::uint64_t controller_steps_ = 0;
+    std::uint64_t connections_at_period_start_ = 0;
     std::array<std::uint64_t, std::variant_size_v<Input>> inputs_{};
     std::array<std::uint64_t, std::variant_size_v<Output>> outputs_{};
     std::array<std::uint64_t, kStoreOperations> store_requests_{};
--- a/tests/loopback/platform_documents.hpp
+++ b/tests/loopback/platform_documents.hpp
@@ -1,5 +1,6 @@
-// Documents of the platform that the loopback tests share: a controller's settings, a submission,
-// the cloud's answers. The wire's words stand here and in the stand-ins only.
+// Documents shared by the loopback tests: a controller's settings, a job submission and the cloud's
+// responses. Among the test sources, only these helpers, the simulated workers and the stub
+// services spell out the names of wire fields.
 #pragma once
 
 #include <string>
@@ -9,7 +10,7 @@
 
 namespace walkford::transport {
 
-// What differs between the controllers of a deployment; the rest is the same small deployment.
+// The settings that differ between controllers; all others describe the same small deployment.
 struct ControllerDocument {
     std::string name;
     std::string zone;
@@ -50,7 +51,7 @@
           {"machine_limits", {{"fd_limit", 300}}}}}};
 }
 
-// The cloud's only machine type, to be had in these zones.
+// The cloud's response with its only machine type, which is available in the given zones.
 inline Json machine_types_document(const std::vector<std::string>& zones) {
     return {{"builds",
              {{{"name", "k"},
@@ -65,7 +66,7 @@
                {"yards", zones}}}}};
 }
 
-// A running machine in the cloud's list.
+// An entry for a running machine in the cloud's machine list.
 inline Json machine_document(const std::string& name, const std::string& zone) {
     return {{"uid", name},      {"endpoint", "127.0.0.1:1"}, {"build", "k"},  {"yard", zone},
             {"loaners", false}, {"status", "running"},       {"heldS", 100.0}};
