--- a/tests/loopback/platform_documents.hpp
+++ b/tests/loopback/platform_documents.hpp
@@ -1,6 +1,6 @@
 // Documents shared by the loopback tests: a controller's settings, a job submission and the cloud's
-// responses. Among the test sources, only these helpers, the simulated workers and the stub
-// services spell out the names of wire fields.
+// responses. The loopback tests keep the names of wire fields in these helpers and in the stubs
+// as far as possible.
 #pragma once
 
 #include <string>
--- a/tests/loopback/fleet.cpp
+++ b/tests/loopback/worker_fleet.cpp
@@ -1,4 +1,4 @@
-#include "loopback/fleet.hpp"
+#include "loopback/worker_fleet.hpp"
 
 namespace walkford::transport {
 
--- a/tests/zone_loopback_test.cpp
+++ b/tests/zone_loopback_test.cpp
@@ -10,9 +10,9 @@
 #include <fstream>
 #include <thread>
 
-#include "loopback/fleet.hpp"
 #include "loopback/platform_documents.hpp"
 #include "loopback/stub_services.hpp"
+#include "loopback/worker_fleet.hpp"
 #include "loopback/zone_proxy.hpp"
 
 namespace walkford::transport {
